--- a/src/main/java/copperbeam/routing/Actor.java
+++ b/src/main/java/copperbeam/routing/Actor.java
@@ -13,12 +13,12 @@
 import java.util.logging.Logger;
 
 /**
- * Owns its state and changes it only by the messages of its mailbox, one at a time and in the order in which
- * they came. A message is bounded work and blocks on nothing.
+ * Base class of actors. An actor owns its state and changes it only while it handles a message. Messages are handled one at
+ * a time: urgent ones first, each kind in the order of arrival. Handling a message must be bounded work and must not block.
  */
 public abstract class Actor<M> {
     private static final Logger LOG = Logger.getLogger(Actor.class.getName());
-    private static final int TURN = 32; // messages until other actors have their turn
+    private static final int TURN = 32; // messages handled in a row before other actors get their turn
 
     private final ConcurrentLinkedQueue<M> mailbox = new ConcurrentLinkedQueue<>();
     private final ConcurrentLinkedQueue<M> urgent = new ConcurrentLinkedQueue<>();
@@ -29,14 +29,14 @@
         this.turns = turns;
     }
 
-    /** From any thread. */
+    /** Sends a message; callable from any thread. */
     public final void tell(M message) {
         add(mailbox, message);
     }
 
     /**
-     * The same, ahead of all that waits and was not told so. Guards against word that must be acted on within a time,
-     * such as a drain, and would wait behind a crowd's requests.
+     * Sends a message that is handled before all waiting messages that are not urgent. For messages that must be acted on
+     * within a bounded time, such as a drain, and must not queue behind many new requests. Callable from any thread.
      */
     public final void tellFirst(M message) {
         add(urgent, message);
@@ -53,7 +53,7 @@
         }
     }
 
-    /** What it returns takes the message back. */
+    /** Sends a message after a delay, unless the returned future is cancelled before. */
     public final Future<?> tellLater(Duration after, M message) {
         return later(after, () -> tell(message));
     }
@@ -66,7 +66,7 @@
         try {
             return turns.schedule(task, Math.max(0, after.toNanos()), TimeUnit.NANOSECONDS);
         } catch (RejectedExecutionException e) {
-            LOG.finest("asked for a message after the end");
+            LOG.finest("delayed message dropped: the executor has shut down");
             return CompletableFuture.completedFuture(null);
         }
     }
@@ -75,7 +75,7 @@
         try {
             executor.execute(this::run);
         } catch (RejectedExecutionException e) {
-            LOG.finest("told after the end");
+            LOG.finest("message dropped: the executor has shut down");
         }
     }
 
@@ -90,8 +90,8 @@
             try {
                 receive(message);
             } catch (RuntimeException | Error e) {
-                // one faulty message must not end the actor, and with it every request that it serves; Errors too, as
-                // where no descriptor is left the JVM fails with one
+                // one message that fails must not stop the actor and all requests that it serves; Errors are caught too,
+                // since the JVM throws them when it runs out of file descriptors
                 LOG.log(
                         Level.SEVERE,
                         getClass().getSimpleName() + " failed on "
--- a/src/main/java/copperbeam/routing/Answer.java
+++ b/src/main/java/copperbeam/routing/Answer.java
@@ -2,9 +2,12 @@
 
 import java.time.Duration;
 
-/** The client's side of a request. Exactly one of refuse, fail, end and broken is called, and it comes last. */
+/**
+ * Receives the response to one request and passes it to the client. Exactly one of {@link #refuse}, {@link #fail},
+ * {@link #end} and {@link #broken} is called, and it is the last call.
+ */
 public interface Answer {
-    /** Why a request failed. */
+    /** Reason why a request failed. */
     enum Failure {
         TOO_LATE,
         SERVERS_FAILED,
@@ -12,31 +15,36 @@
         ID_IN_USE
     }
 
-    /** The first event follows at once. */
+    /** Begins a stream; its first event follows at once. */
     void begin();
 
     /**
-     * One event of the stream, as it came.
+     * Passes on one event of the stream, as received from the server.
      *
-     * @param drained run once the client's connection has taken it
-     * @return false where the front can't pass it on; the stream is then broken
+     * @param onDrained is run once the client's connection has taken the event
+     * @return false if the front can't pass it on; the stream is then broken
      */
     boolean event(byte[] raw, Runnable drained);
 
-    /** The stream is whole. */
+    /** Ends a complete stream. */
     void end();
 
-    /** The stream ends before it is whole. */
+    /** Ends a stream that is incomplete. */
     void broken();
 
-    /** Trying again is harmless; {@code retryAfter} zero: no advice; {@code tried}: a server was sent to. */
+    /**
+     * Refuses the request; the client may safely retry it.
+     *
+     * @param retryAfter advice how long to wait before a retry; zero for none
+     * @param tried whether an attempt was started at any server
+     */
     void refuse(Duration retryAfter, boolean tried);
 
     void fail(Failure why);
 
     /**
-     * The client has gone away; from any thread, and true before {@link Intake#left} is called. Guards against what is
-     * begun for it before that word has had its turn.
+     * Whether the client has gone away. May be called from any thread, and is true before {@link Intake#clientGone} is called,
+     * so that no work begins for the client while that message is still queued.
      */
     default boolean gone() {
         return false;
--- a/src/main/java/copperbeam/routing/AnsweredConnections.java
+++ b/src/main/java/copperbeam/routing/AnsweredConnections.java
@@ -6,13 +6,14 @@
 import java.util.Map;
 
 /**
- * Which connections to one server have answered lately, so that a call without an answer can be told from one that never arrived: open
- * connections may fall silent with no error, while new ones come up. Its {@link PeerActor} alone reads and changes it.
+ * Tracks which connections to one server have answered recently, to distinguish a call that the server has not answered yet
+ * from one that never arrived: packets on established connections may be dropped without an error while new connections
+ * still come up. Confined to its {@link PeerActor}.
  */
 final class AnsweredConnections {
     private static final class Life {
-        final long order; // of opening
-        Instant answered; // when the newest call was written that it has answered; null: none yet
+        final long order; // of opening, ascending
+        Instant answered; // when the newest of its answered calls was dispatched; null: none yet
 
         Life(long order) {
             this.order = order;
@@ -21,7 +22,7 @@
 
     private final Map<Connection, Life> lives = new IdentityHashMap<>();
     private long opened;
-    private Instant answered; // the same, of all connections, those closed since too
+    private Instant answered; // the same over all connections, including those closed since
 
     void opened(Connection connection) {
         lives.put(connection, new Life(++opened));
@@ -31,7 +32,7 @@
         lives.remove(connection);
     }
 
-    /** The call has an answer, or the head of one. */
+    /** Records that the call has received an answer, or the head of one. */
     void answered(ServerCall call) {
         Life life = lives.get(call.connection);
         if (life != null) {
@@ -41,8 +42,9 @@
     }
 
     /**
-     * Whether the call can be taken for one that arrived: a call that was written later was answered, on a connection at least
-     * as old where this call's has carried others before. What silences connections that are open would have silenced that one as well.
+     * Whether it is safe to assume that the call has arrived: a call dispatched later was answered. If this call's connection
+     * had carried others before, that answer must have come on an older connection, because a fault that silences
+     * established connections would have silenced that one as well.
      */
     boolean proveArrival(ServerCall call) {
         Life own = lives.get(call.connection);
--- a/src/main/java/copperbeam/routing/Ask.java
+++ b/src/main/java/copperbeam/routing/Ask.java
@@ -3,13 +3,13 @@
 import java.time.Instant;
 
 /**
- * One client's request, whatever wire it came by. {@code payload} is for the transport alone to read.
+ * One client's request as the core sees it, independent of the protocol. Only transports read the {@code payload}.
  *
- * @param id the request's name towards servers
- * @param customer the tenant as the settings name it, or null
- * @param prefix the beginning shared with other sessions, or null
- * @param deadline when the client stops waiting for a first token
- * @param resumed the rest of a stream that broke is asked for: it has run
+ * @param id identifies the request to servers
+ * @param customer name of the tenant in the settings, or null
+ * @param prefix identifies the beginning of the prompt that is shared with other sessions, or null
+ * @param deadline when the client stops waiting for the first token
+ * @param resumed whether the client asks for the rest of a broken stream; such a request has already run
  */
 public record Ask(
         String id,
@@ -24,7 +24,7 @@
         boolean resumed,
         Payload payload) {
 
-    /** Of no tenant. */
+    /** Creates a request without a tenant. */
     public Ask(
             String id,
             String requestClass,
@@ -50,6 +50,6 @@
                 payload);
     }
 
-    /** What is passed on to a server unchanged. */
+    /** Content that is passed on to a server unchanged. */
     public interface Payload {}
 }
--- a/src/main/java/copperbeam/routing/CauseCounts.java
+++ b/src/main/java/copperbeam/routing/CauseCounts.java
@@ -7,14 +7,14 @@
 import java.util.concurrent.atomic.LongAdder;
 import java.util.stream.Collectors;
 
-/** How often what happened, by its cause: for the log, and read from any thread. */
+/** Counts events by kind and cause, for the log. Thread-safe. */
 public final class CauseCounts {
-    /** What is counted. */
+    /** Kind of a counted event. */
     public enum Kind {
         REFUSED,
         FAILED,
         CANCELLED,
-        /** An attempt after another one; the cause is how that one ended. */
+        /** A further attempt of a request; the cause is the outcome of the one before. */
         RETRIED,
         STATE_RELEASED,
         ATTEMPT_ENDED,
@@ -24,19 +24,19 @@
 
     private final ConcurrentMap<String, LongAdder> counts = new ConcurrentHashMap<>();
 
-    /** Once more, for this cause. */
+    /** Adds one event. */
     public void add(Kind kind, Enum<?> cause) {
         counts.computeIfAbsent(kind + "." + cause.name(), name -> new LongAdder())
                 .increment();
     }
 
-    /** How often so far. */
+    /** Number of events so far. */
     public long count(Kind kind, Enum<?> cause) {
         LongAdder count = counts.get(kind + "." + cause.name());
         return count == null ? 0 : count.sum();
     }
 
-    /** {@code KIND.CAUSE=count}, in the order of names, without what has not happened. */
+    /** {@code KIND.CAUSE=count} of all events that have occurred, sorted by name. */
     @Override
     public String toString() {
         SortedMap<String, LongAdder> sorted = new TreeMap<>(counts);
--- a/src/main/java/copperbeam/routing/Connector.java
+++ b/src/main/java/copperbeam/routing/Connector.java
@@ -6,12 +6,15 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Supplier;
 
-/** Outgoing connections, as the transport makes them. */
+/** Opens connections to servers; implemented by the transport. */
 public interface Connector {
-    /** Calls exactly one of the watcher's first two, then {@code closed} once for a connection that was up. */
+    /**
+     * Opens a connection. Calls exactly one of {@code connected} and {@code connectFailed} on the listener, and
+     * {@code closed} once for a connection that was established.
+     */
     void connect(InetSocketAddress to, Duration timeout, Watcher watcher);
 
-    /** Is told of a connection as it opens and closes. */
+    /** Notified when a connection opens, fails to open or closes. */
     interface Watcher {
         void up(Connection connection);
 
@@ -20,43 +23,53 @@
         void closed(Connection connection);
     }
 
-    /** Carries one call at a time. */
+    /** An established connection, which carries one call at a time. */
     interface Connection {
         boolean isOpen();
 
         void call(Call call, Listener listener);
 
-        /** Lets the last byte of a held call go. */
+        /** Sends the last byte of a call that was held back ({@link AttemptCall#holdLastByte}). */
         void let();
 
-        /** Lets the server send so many bytes more. */
+        /** Flow control: extends the receive window, so that the server may send {@code bytes} more. */
         void grant(int bytes);
 
-        /** The server has sent all that it may, as what it sent has not been taken. */
+        /** Whether the server is stopped by flow control: the receive window is used up because the client does not read. */
         boolean heldBack();
 
-        /** Runs {@code read} once what the server has sent by now was read and told, as far as the window goes. */
+        /**
+         * Runs {@code then} after everything the server has sent by now was read and passed to the listener, as far as
+         * the receive window allows.
+         */
         void readOut(Runnable read);
 
         void close();
 
-        /** The same with a reset, so that what the system still has of the call does not leave once it is {@link #released}. */
+        /**
+         * Closes the connection with a TCP reset, so that what the kernel has buffered of the call is discarded. This is
+         * certain once {@link #released} is true.
+         */
         void abort();
 
-        /** After {@link #abort}: the system has let go of the connection, and nothing of the call can leave it any more. */
+        /** After {@link #abort}: whether the socket is closed, so that no more bytes of the call can be sent. */
         default boolean released() {
             return true;
         }
     }
 
-    /** What a connection is asked to carry. */
+    /** A request to send on a connection. */
     sealed interface Call permits AttemptCall, ProbeCall, ReleaseCall {}
 
     /**
-     * {@code reads}: its server is a reader, and only a reader's answer is one. {@code patience}: how long we shall wait,
-     * as the server is told; asked on the transport's thread as the head leaves. {@code hold}: its last byte stays here
-     * until it is let go, so that a connection that ends first proves that nothing ran. {@code mayBegin}: asked there
-     * before the head leaves, {@code wanted} as the last byte does; where one says no, the connection is broken instead.
+     * One attempt of a client's request. The suppliers are called on the transport's thread.
+     *
+     * @param reads the server acts as a reader, and only a reader's answer is valid
+     * @param timeLeft the remaining timeout that the server is told; evaluated when the head is sent
+     * @param holdLastByte hold back the last byte until {@link Connection#sendLastByte}; if the connection ends before
+     *     that, nothing has run
+     * @param maySendHead evaluated before the head is sent; if false, the connection is broken instead
+     * @param maySendLastByte the same for the last byte
      */
     record AttemptCall(
             Ask ask,
@@ -70,10 +83,14 @@
     /** A health probe. */
     record ProbeCall() implements Call {}
 
-    /** A release of the read state that belongs to the request with this id. */
+    /** Asks the server to release the read state that belongs to the request with this id. */
     record ReleaseCall(String id) implements Call {}
 
-    /** What a server's answer means. */
+    /**
+     * What a server's answer means. READ: the read is complete, and the server holds its state; TURNED_AWAY: the server did not
+     * run the request; STATE_MISSING: the same, because it found no read state to write from; HEARD: a probe or a release
+     * was confirmed.
+     */
     enum Word {
         STREAM,
         READ,
@@ -83,27 +100,35 @@
         HEARD
     }
 
-    /** Called by the transport, in order; the last is {@code end} or {@code broken}. */
+    /** Receives the progress of a call, in order; the last notification is {@code end} or {@code broken}. */
     interface Listener {
-        /** The request's last byte was handed to the connection. */
+        /** The whole request was written to the connection. */
         void sent();
 
-        /** Of a held call only the last byte is left. */
+        /** All but the last byte was sent, which is held back. */
         void held();
 
-        /** {@code report} may be null. */
+        /**
+         * The kind of the answer is known: for an attempt with the head of the answer, else with its end. {@code report}
+         * may be null.
+         */
         void word(Word word, Report report);
 
-        /** One whole event of a stream, its closing blank line included. */
+        /** One complete event of a stream, including the blank line that terminates it. */
         void event(byte[] raw);
 
         /**
-         * The answer is whole; {@code reusable}: the connection can carry another call. {@code kept}: so many tokens of
-         * the prompt had a read found, NaN where nothing tells.
+         * The answer is complete.
+         *
+         * @param reusable whether the connection can carry another call
+         * @param keptTokens how many tokens of the prompt a read found in the server's cache, NaN if unknown
          */
         void end(boolean reusable, double kept);
 
-        /** {@code written}: the request's last byte may have left. */
+        /**
+         * The connection ended before the answer was complete. {@code lastByteMayHaveLeft}: the server may have the whole
+         * request, and may have run it.
+         */
         void broken(boolean written);
     }
 }
--- a/src/main/java/copperbeam/routing/HookActor.java
+++ b/src/main/java/copperbeam/routing/HookActor.java
@@ -15,15 +15,19 @@
 import java.util.logging.Logger;
 
 /**
- * Runs the hooks on a thread of their own, one request after another, and hands on to the module what they
- * let pass. They may refuse and may change a class; the rules stay as they are.
+ * Runs the plug-ins' hooks on a separate thread, one request after another, and passes the requests that they let through on
+ * to the decision module. Hooks may refuse a request or change its class, within the protocol's rules.
  */
 public final class HookActor extends Actor<HookActor.Message> implements Intake {
-    /** What this actor is told. */
+    /** Messages of this actor. */
     public sealed interface Message permits Arrive {}
 
-    /** {@code handled}: set by whoever answers the request or hands it on; {@code expiry}: answers it at its deadline. */
+    /**
+     * A request to run the hooks on. {@code handled}: set by whoever answers the request or passes it on; {@code expiry}: the
+     * timer that fails it at its deadline.
+     */
     private record Arrive(Ask ask, Answer answer, AtomicBoolean handled, Future<?> expiry) implements Message {
+        /** Stops the expiry timer; returns whether the caller is the first to answer the request or pass it on. */
         boolean claim() {
             expiry.cancel(false);
             return handled.compareAndSet(false, true);
@@ -39,8 +43,8 @@
     private final Intake next;
 
     /**
-     * {@code timers}: runs what answers a request whose hooks have not come to an end by its deadline; not the thread on
-     * which the hooks run, as one that hangs holds that up.
+     * {@code timers}: fails requests whose hooks have not finished by the deadline. Must not use the thread on which the hooks
+     * run, which a hanging hook blocks.
      */
     public HookActor(
             ScheduledExecutorService own,
@@ -63,24 +67,24 @@
         tell(new Arrive(ask, answer, handled, expiry(ask, answer, handled)));
     }
 
-    /** Guards against a hook that hangs or is slow: each request behind it would get its answer late or never. */
+    /** Schedules a failure at the deadline: behind a slow or hanging hook, queued requests would be answered late or never. */
     private Future<?> expiry(Ask ask, Answer answer, AtomicBoolean handled) {
         Duration left = Duration.between(clock.instant(), ask.deadline());
         Runnable expire = () -> {
             if (handled.compareAndSet(false, true)) {
-                LOG.warning("no verdict of the plug-ins by its deadline: " + ask.id());
+                LOG.warning("plug-ins gave no verdict by the deadline: request " + ask.id());
                 answer.fail(Answer.Failure.TOO_LATE);
             }
         };
         try {
             return timers.schedule(expire, Math.max(0, left.toMillis()), TimeUnit.MILLISECONDS);
         } catch (RejectedExecutionException e) {
-            LOG.finest("asked after the end");
+            LOG.finest("request arrived after shutdown of the timers");
             return CompletableFuture.completedFuture(null);
         }
     }
 
-    /** At once: hooks may take their time. What is still here or behind is not handed on. */
+    /** Passes the message on at once, as hooks may be slow. A request that is still queued here is dropped when its turn comes. */
     @Override
     public void left(Answer answer) {
         next.left(answer);
@@ -97,11 +101,11 @@
             RequestHook.Verdict verdict = RequestHook.Verdict.PASS;
             try {
                 verdict = hook.onRequest(ask);
-            } catch (Exception | Error failure) { // an Error too: the request would be lost
-                LOG.warning("plug-in " + hook.name() + " is passed over: " + failure);
+            } catch (Exception | Error failure) { // an Error too, or the request would be lost
+                LOG.warning("plug-in " + hook.name() + " failed and is skipped: " + failure);
             }
             if (verdict.refuseFor() != null && ask.resumed() && effect(ask.requestClass()) != Effect.SAFE) {
-                LOG.warning("plug-in " + hook.name() + " may not refuse what has run: " + ask.id());
+                LOG.warning("plug-in " + hook.name() + " may not refuse a request that has run: " + ask.id());
             } else if (verdict.refuseFor() != null) {
                 if (e.claim()) {
                     e.answer().refuse(verdict.refuseFor(), false);
@@ -117,11 +121,14 @@
         }
     }
 
-    /** Guards the once-only rule: a request keeps a class that may be repeated less than the one it would get. */
+    /**
+     * Returns the request with the class that a hook asks for, or unchanged if that class is unknown or could allow more repeats
+     * than the current one: a request that must run only once must not become repeatable.
+     */
     private Ask changed(RequestHook hook, Ask ask, String name) {
         Effect effect = effect(name);
         if (effect == null || effect(ask.requestClass()) != Effect.SAFE && effect != Effect.UNSAFE) {
-            LOG.warning("plug-in " + hook.name() + " may not turn " + ask.requestClass() + " into " + name);
+            LOG.warning("plug-in " + hook.name() + " may not change class " + ask.requestClass() + " to " + name);
             return ask;
         }
         return new Ask(
--- a/src/main/java/copperbeam/routing/IdleConnections.java
+++ b/src/main/java/copperbeam/routing/IdleConnections.java
@@ -8,21 +8,22 @@
 import java.util.Deque;
 import java.util.Iterator;
 
-/** The connections to one server that carry no call; its {@link PeerActor} alone reads and changes them. */
+/** The idle connections to one server, kept for reuse. Confined to its {@link PeerActor}. */
 final class IdleConnections {
-    /** {@code since}: when its last call ended. */
+    /** A kept connection; {@code idleSince} is when its last call ended. */
     record Idle(Connection connection, Instant since) {}
 
-    // a second answer comes some milliseconds behind the first, and would be taken for that to the next call
+    // a faulty server may send a second answer some milliseconds after the first; on a connection that was reused by then,
+    // it would be taken for the answer to the next call
     private static final Duration SETTLING = Duration.ofMillis(30);
-    private static final Duration SHORTEST_LIFETIME = Duration.ofMillis(100); // shorter is a close after an answer
+    private static final Duration SHORTEST_LIFETIME = Duration.ofMillis(100); // a server that closes sooner closes after each answer
 
     private final Clock clock;
     private final Deque<Idle> connections = new ArrayDeque<>();
     private Duration lifetime;
     private int capacity = 1;
 
-    /** {@code lifetime}: so long a connection may stand idle. */
+    /** {@code lifetime}: how long a connection may be kept idle, until servers turn out to close sooner. */
     IdleConnections(Clock clock, Duration lifetime) {
         this.clock = clock;
         this.lifetime = lifetime;
@@ -52,12 +53,12 @@
         }
     }
 
-    /** The connection used last of those that have settled, or null. */
+    /** Removes and returns the most recently used connection that has been idle long enough for reuse, or null. */
     Idle take() {
         Instant now = clock.instant();
         for (Iterator<Idle> i = connections.descendingIterator(); i.hasNext(); ) {
             Idle next = i.next();
-            // never written on when the server may be closing it: what was written would count as a reset
+            // a connection that the server may be closing is not reused: a request written on it would count as reset
             if (!next.connection().isOpen() || isStale(next, now)) {
                 i.remove();
                 next.connection().close();
@@ -69,7 +70,7 @@
         return null;
     }
 
-    /** Closes what has stood idle for its lifetime, well before the server would. */
+    /** Closes the connections that have reached their idle lifetime, well before the server would. */
     void closeStale() {
         Instant now = clock.instant();
         for (Iterator<Idle> i = connections.iterator(); i.hasNext(); ) {
@@ -86,8 +87,10 @@
     }
 
     /**
-     * The server has closed this one, which may be in use. True where the lifetime is shorter now. Guards against servers
-     * that close what is idle sooner than they say: kept for half of what they bear.
+     * Removes a connection that has closed; it may have been in use instead. If it was idle, the lifetime is cut to half
+     * of the time it had been idle, since some servers close idle connections sooner than they announce.
+     *
+     * @return whether the lifetime was shortened
      */
     boolean closed(Connection connection) {
         for (Iterator<Idle> i = connections.iterator(); i.hasNext(); ) {
--- a/src/main/java/copperbeam/routing/Intake.java
+++ b/src/main/java/copperbeam/routing/Intake.java
@@ -1,9 +1,9 @@
 package copperbeam.routing;
 
-/** Where fronts hand in requests; what stands between them and the module implements it too. */
+/** Accepts requests from fronts. Implemented by the module's actor and by the steps that requests pass through before it. */
 public interface Intake {
     void arrive(Ask ask, Answer answer);
 
-    /** The client of this answer has gone away; passed over where the request is over. */
+    /** Reports that the client of this response has gone away; ignored if the request has ended. */
     void left(Answer answer);
 }
--- a/src/main/java/copperbeam/routing/ListActor.java
+++ b/src/main/java/copperbeam/routing/ListActor.java
@@ -15,29 +15,30 @@
 import java.util.function.BiFunction;
 
 /**
- * Owns the list of servers and one {@link PeerActor} for each of them, at its address. One that has left is forgotten here: what
- * is still out there has its peer by itself. Guards against a day on which servers come under ever new ids.
+ * Owns the list of servers and one {@link PeerActor} for each server and address. A server that has left the list is
+ * forgotten here, so that memory does not grow when servers come under ever new ids; calls still in flight keep a reference
+ * to their peer.
  */
 public final class ListActor extends Actor<ListActor.Message> {
-    /** What this actor is told. */
+    /** The messages this actor handles. */
     public sealed interface Message permits Told, Idle {}
 
-    /** {@code acted} runs once the module has it; may be null. */
+    /** The server list has changed; {@code onApplied} runs once the {@link ModuleActor} has the change, and may be null. */
     public record Told(MembershipSource.Change change, Runnable acted) implements Message {}
 
-    /** So many connections may stand idle at all servers together. */
+    /** Sets how many idle connections may be kept to all servers together. */
     public record Idle(int connections) implements Message {}
 
-    private static final int MOST_IDLE = 16; // connections to one server
+    private static final int MOST_IDLE = 16; // idle connections kept to one server
 
     private final Map<String, PeerActor> peers = new HashMap<>();
-    private final Map<String, InetSocketAddress> addresses = new HashMap<>(); // theirs
+    private final Map<String, InetSocketAddress> addresses = new HashMap<>(); // of the peers, by the same ids
     private final BiFunction<String, InetSocketAddress, PeerActor> newPeer;
     private final ModuleActor module;
     private final ReleaseActor releases;
     private int idle;
 
-    /** {@code idle}: connections that may stand idle at all servers together. */
+    /** {@code maxIdle}: how many idle connections may be kept to all servers together. */
     public ListActor(
             ScheduledExecutorService turns,
             BiFunction<String, InetSocketAddress, PeerActor> newPeer,
@@ -85,13 +86,16 @@
         }
         addresses.keySet().retainAll(peers.keySet());
         share();
-        // a copy whose order is the same in each run, as Map.copyOf's is not: the order in which servers hear a release
+        // servers are asked for a release in this map's order; unlike Map.copyOf's, it is the same in each run
         Map<String, PeerActor> known = Collections.unmodifiableMap(new HashMap<>(peers));
         module.tellFirst(new ModuleActor.Listed(change.kind(), members, known, told.acted()));
         releases.tell(new ReleaseActor.Listed(known));
     }
 
-    /** Guards against connections to an earlier address that come back from use, and would be used for the server again. */
+    /**
+     * Returns the peer of a server. A new address gets a new peer, so that connections to the old address, once their calls
+     * end, are not reused for the server.
+     */
     private PeerActor at(String id, InetSocketAddress address) {
         if (!address.equals(addresses.put(id, address))) {
             PeerActor before = peers.put(id, newPeer.apply(id, address));
@@ -102,7 +106,7 @@
         return peers.get(id);
     }
 
-    /** Shares out what may stand idle, and no more: with more servers than connections, some keep none. */
+    /** Distributes the limit on idle connections evenly; with more servers than connections, some servers get none. */
     private void share() {
         int all = Math.max(0, idle);
         int each = all / Math.max(1, peers.size());
--- a/src/main/java/copperbeam/routing/MembershipSource.java
+++ b/src/main/java/copperbeam/routing/MembershipSource.java
@@ -5,20 +5,20 @@
 import java.net.InetSocketAddress;
 import java.util.List;
 
-/** Where the list of servers comes from. */
+/** Provides the list of servers and its changes. */
 public interface MembershipSource {
-    /** A server and the address of its listener. */
+    /** A server and the address it listens on. */
     record Entry(Member member, InetSocketAddress address) {}
 
-    /** A whole list, or what has changed in it. */
+    /** A complete list or only its changed entries, as {@code kind} tells. */
     record Change(ListKind kind, List<Entry> entries) {}
 
-    /** Who is told of changes. */
+    /** Receives the changes. */
     interface Sink {
         void changed(Change change);
     }
 
-    /** Tells the sink of the whole list and then of each change, until stopped; mends itself. */
+    /** Passes the complete list and then each change to the sink until stopped; recovers from failures by itself. */
     void start(Sink sink);
 
     void stop();
--- a/src/main/java/copperbeam/routing/Metrics.java
+++ b/src/main/java/copperbeam/routing/Metrics.java
@@ -6,11 +6,11 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * What this process has done since its start, counted where it happens and read from any thread. A figure is never
- * derived from another's: who counts an end has seen it.
+ * Counters of this process since its start, incremented where the events happen. No counter is derived from another one.
+ * Thread-safe.
  */
 public final class Metrics {
-    /** How a request ended; where the client had gone, it counts nowhere. */
+    /** How a request ended. {@code LEFT}: its client had gone away before; this count is not published. */
     public enum End {
         ANSWERED,
         DEFERRED,
@@ -24,7 +24,7 @@
         final AtomicLong sends = new AtomicLong();
     }
 
-    /** Of servers: those in the list, and those of them that the conductor now avoids, by hand or by choice. */
+    /** Number of listed servers, and of those that the conductor avoids now, on an operator's order or by its own decision. */
     public record Cluster(int size, int avoided) {}
 
     private final Map<String, Counts> classes = new LinkedHashMap<>();
@@ -33,23 +33,23 @@
     private final StageTimes stages = new StageTimes();
     private volatile Cluster cluster = new Cluster(0, 0);
 
-    /** {@code names}: the classes that are counted; what is of another counts as current alone. */
+    /** {@code names}: the classes counted; a request of another class counts only among the open requests. */
     public Metrics(Collection<String> names) {
         names.forEach(n -> classes.put(n, new Counts()));
     }
 
-    /** A request was taken. */
+    /** Counts a request that was accepted. */
     public void taken() {
         current.incrementAndGet();
     }
 
-    /** A request that was taken has ended. */
+    /** Counts the end of an accepted request. */
     public void ended(String requestClass, End end) {
         current.decrementAndGet();
         count(requestClass, end);
     }
 
-    /** A request got its final answer before it was taken. */
+    /** Counts a request that got its final answer without being accepted. */
     public void turnedAway(String requestClass, End end) {
         count(requestClass, end);
     }
@@ -61,7 +61,7 @@
         }
     }
 
-    /** An attempt was written whole to a server. */
+    /** Counts an attempt that was completely written to a server. */
     public void sent(String requestClass) {
         Counts c = classes.get(requestClass);
         if (c != null) {
@@ -69,12 +69,12 @@
         }
     }
 
-    /** Why what happened, for the log. */
+    /** Counts of events by cause, for the log. */
     public CauseCounts causes() {
         return causes;
     }
 
-    /** Where requests of each class spent their time, for the log. */
+    /** Time that requests of each class spent in each stage, for the log. */
     public StageTimes stages() {
         return stages;
     }
@@ -87,7 +87,7 @@
         return cluster;
     }
 
-    /** Requests taken and not yet ended. */
+    /** Number of requests accepted and not yet ended. */
     public long current() {
         return current.get();
     }
--- a/src/main/java/copperbeam/routing/ModuleActor.java
+++ b/src/main/java/copperbeam/routing/ModuleActor.java
@@ -26,11 +26,11 @@
 import java.util.logging.Logger;
 
 /**
- * Alone owns the decision module, its timers and the requests that it knows. Turns what happens into the
- * module's events and its actions into messages; decides nothing that the module decides.
+ * Sole owner of the decision module, its timers and the open requests. Translates incoming messages into events of the
+ * module, and the module's actions into messages to other actors. All routing decisions are left to the module.
  */
 public final class ModuleActor extends Actor<ModuleActor.Message> implements Intake {
-    /** What this actor is told. */
+    /** Messages of this actor. */
     public sealed interface Message
             permits Listed,
                     Arrive,
@@ -49,24 +49,24 @@
                     Sweep,
                     Beside {}
 
-    /** {@code acted} runs once the module has it; may be null. */
+    /** The server list or a change of it; {@code onApplied} runs once the module has processed it and may be null. */
     public record Listed(ListKind kind, List<Api.Member> members, Map<String, PeerActor> peers, Runnable acted)
             implements Message {}
 
-    /** A request has come. */
+    /** A client's request has arrived. */
     public record Arrive(Ask ask, Answer answer) implements Message {}
 
-    /** The client has gone away; an answer that is unknown or over is passed over. */
+    /** The client has gone away; ignored where its request is unknown or has ended. */
     public record Left(Answer answer) implements Message {}
 
-    /** The first event of an attempt's stream; {@code drained} runs once the client has taken it. */
+    /** The first event of an attempt's stream; {@code onDrained} runs once the client's connection has taken it. */
     public record FirstEvent(
             long request, int number, String server, byte[] raw, Duration after, Runnable drained, PeerActor at)
             implements Message {}
 
     /**
-     * {@code up}: it had a connection, else nothing ran. {@code at}: when that connection's last word came or it was closed
-     * here, however long this message has waited.
+     * An attempt has ended. {@code connected}: it had a connection; without one, nothing ran. {@code endedAt}: when the last
+     * message came on that connection or it was closed here, regardless of how long this message waited in the mailbox.
      */
     public record Ended(
             long request,
@@ -81,53 +81,54 @@
             Instant at)
             implements Message {}
 
-    /** The answer to {@link PeerActor.AskArrival}. */
+    /** A peer's reply to {@link PeerActor.CheckArrival}; {@code confirmed}: answers to other calls show that the attempt arrived. */
     public record ArrivalShown(long request, int number, boolean shown) implements Message {}
 
     /** A health probe has ended. */
     public record ProbeDone(String server, Outcome outcome, Duration after, Report report) implements Message {}
 
-    /** Runs {@code idle} as soon as no request is open. */
+    /** Runs {@code onIdle} as soon as no request is open. */
     public record Drain(Runnable idle) implements Message {}
 
-    /** What still comes gets its final answer at once, as if its time were up; what is open goes on. */
+    /** New requests get their final answer at once, as if their deadline had passed; open requests continue. */
     public record TakeNoMore() implements Message {}
 
-    /** The stop may wait no longer: what is open, and what still comes, gets its final answer. */
+    /** The shutdown may wait no longer: open requests without a stream, and new requests, get their final answer now. */
     public record HandOver() implements Message {}
 
-    /** The process ends: streams end too, so that their clients go on elsewhere. */
+    /** The process is about to exit: ends the running streams too, so that their clients resume them elsewhere. */
     public record Cut() implements Message {}
 
-    /** Counts the servers for {@link Metrics}, and again each {@link #CENSUS}. */
+    /** Updates the server counts in {@link Metrics}, and does so again every {@link #SERVER_COUNT_INTERVAL}. */
     public record Census() implements Message {}
 
-    /** Of what the conductor may send to cold servers, this part is for this process. */
+    /** This process's share (0 to 1) of the work that the conductor may send to cold servers. */
     public record Beside(double part) implements Message {}
 
     private record Fired(String tag) implements Message {}
 
     private record StateDue(long request, int attempts) implements Message {}
 
-    /** Looks for requests that are open beyond their deadline. */
+    /** Looks for requests without a final answer after their deadline, and for attempts whose outcome never came. */
     private record Sweep() implements Message {}
 
-    /** Why a read state is released. */
+    /** Reason for releasing a read state. */
     private enum ReleaseCause {
-        /** The module has asked for it. */
+        /** The module has asked for the release. */
         ASKED,
-        /** No attempt has taken it in time. */
+        /** No attempt has used the state before its lease ran out. */
         UNTAKEN,
-        /** An attempt is out, and no answer says that it has arrived. */
+        /** An attempt is in flight, and no answer shows that it has arrived at its server. */
         UNANSWERED
     }
 
     private static final Logger LOG = Logger.getLogger(ModuleActor.class.getName());
-    private static final Duration CENSUS = Duration.ofMillis(200); // figures may be half a second late
-    // after its deadline a request is failed here, as the module has not answered it; and how often that is looked at
+    private static final Duration CENSUS = Duration.ofMillis(200); // between counts; metrics are allowed to lag by 0.5 s
+    // time after a request's deadline at which this actor fails the request, if the module has not given a final answer
     private static final Duration OVERDUE = Duration.ofMillis(150);
-    private static final Duration LOST = Duration.ofSeconds(1); // an outcome that has not come so long after its time
-    private static final Duration SWEEP_INTERVAL = Duration.ofMillis(100);
+    // time after an attempt's deadline at which its outcome counts as lost
+    private static final Duration LOST = Duration.ofSeconds(1);
+    private static final Duration SWEEP_INTERVAL = Duration.ofMillis(100); // between checks for both
 
     private final Clock clock;
     private final Brain brain;
@@ -144,7 +145,7 @@
     private Map<String, PeerActor> peers = Map.of();
     private long keys;
     private boolean takesNoMore;
-    private boolean sweeping; // the next sweep is scheduled
+    private boolean sweeping;
     private Runnable idle;
 
     public ModuleActor(
@@ -216,12 +217,12 @@
 
     @Override
     public void left(Answer answer) {
-        tellFirst(new Left(answer)); // behind a crowd's requests it would come after attempts that it forbids
+        tellFirst(new Left(answer)); // queued behind many new requests, it would come after attempts that it should prevent
     }
 
     /**
-     * Never throws: one failed action must not lose the final answers behind it, nor what its caller does next. What a
-     * request misses by it is made good by {@link #sweep}.
+     * Passes an event to the module and carries out the resulting actions. Never throws: one failed action must not prevent
+     * the final answers after it, nor what the caller does next. {@link #sweep} ends requests that miss an action this way.
      */
     private void feed(Api.Event event) {
         try {
@@ -229,9 +230,9 @@
                 tryAction(action);
             }
         } catch (RuntimeException | Error e) {
-            LOG.log(Level.SEVERE, "the module failed on " + event, e);
+            LOG.log(Level.SEVERE, "the decision module failed on " + event, e);
         }
-        // not before all actions are done: a release may follow the final answer of the same request
+        // only after all actions: a release may follow the final answer of the same request
         closing.forEach(this::forget);
         closing.clear();
     }
@@ -240,11 +241,11 @@
         try {
             act(action);
         } catch (RuntimeException | Error e) {
-            LOG.log(Level.SEVERE, "an action failed: " + action, e);
+            LOG.log(Level.SEVERE, "an action of the decision module failed: " + action, e);
         }
     }
 
-    /** Guards against requests that would never get a final answer, as the module failed on them or lost count of them. */
+    /** Guards against requests that would never get a final answer because the module failed on them or lost track of them. */
     private void sweep() {
         Instant now = clock.instant();
         for (OpenRequest r : List.copyOf(requests.values())) {
@@ -267,28 +268,31 @@
     }
 
     private void overdue(OpenRequest r) {
-        LOG.warning("no final answer by its deadline: " + r.ask.id());
+        LOG.warning("the module gave no final answer by the deadline: request " + r.ask.id());
         ruleBroken(r, Rule.LATE_ANSWER);
         over(r, Metrics.End.ERRORED);
         try {
             r.answer.fail(Answer.Failure.TOO_LATE);
         } catch (RuntimeException | Error e) {
-            LOG.log(Level.SEVERE, "an answer failed: " + r.ask.id(), e);
+            LOG.log(Level.SEVERE, "sending the final answer failed: request " + r.ask.id(), e);
         }
-        feed(new Api.ClientLeft(r.key)); // the module calls off what is out, and lets go of what is held
+        feed(new Api.ClientLeft(r.key)); // makes the module cancel the attempt in flight and release held state
         forget(r);
     }
 
-    /** Guards against a server that counts as busy for good, and a stop that waits: its peer failed on the outcome. */
+    /**
+     * Ends an attempt whose outcome never came because its peer failed. Otherwise the server would count as busy forever, and a
+     * shutdown would wait for the attempt.
+     */
     private void outcomeLost(OpenRequest r, Instant now) {
-        LOG.warning("no outcome of an attempt by its time: " + r.ask.id() + " at " + r.at.id());
+        LOG.warning("no outcome of an attempt by its deadline: request " + r.ask.id() + " at " + r.at.id());
         int number = r.attempts - 1;
         r.at.tell(new PeerActor.Stop(r.key, number));
         Duration after = Duration.between(r.until, now);
         ended(new Ended(r.key, number, r.at.id(), Outcome.TIMED_OUT, after, false, null, Double.NaN, true, now));
     }
 
-    // ---- what happens --------------------------------------------------------------------------
+    // ---- incoming messages ---------------------------------------------------------------------
 
     private void listed(Listed e) {
         peers = e.peers();
@@ -324,7 +328,7 @@
             return;
         }
         if (!ids.add(e.ask().id())) {
-            // two requests of one id can't be told apart at servers, where each would let go of the other's state
+            // servers can't tell two requests with one id apart: each would release the other's read state
             e.answer().fail(Answer.Failure.ID_IN_USE);
             metrics.ended(e.ask().requestClass(), Metrics.End.ERRORED);
             return;
@@ -362,7 +366,9 @@
                 a.resumed()));
     }
 
-    /** As if its time were up: the module knows what may be refused, and what must be let go. */
+    /**
+     * Ends an open request as if its deadline had passed: the module knows whether it may be refused and what must be released.
+     */
     private void handOver(OpenRequest r) {
         if (r.phase == Phase.OPEN) {
             feed(new Api.TimerFired("d" + r.key + ".0"));
@@ -379,7 +385,7 @@
         over(r, Metrics.End.LEFT);
         feed(new Api.ClientLeft(r.key));
         if (streaming && r.out) {
-            // nobody reads it: its connection is closed, which ends it at the server
+            // nobody reads the stream any more: closing its connection also ends it at the server
             r.at.tell(new PeerActor.Stop(r.key, r.attempts - 1));
         }
         forget(r);
@@ -390,7 +396,7 @@
         PeerActor peer = e.at();
         boolean current = r != null && r.out && r.attempts - 1 == e.number();
         if (!current || r.phase != Phase.OPEN) {
-            // ended while the event was on its way: its stream is nobody's
+            // the attempt or the request ended while this message was queued: nobody wants the stream
             peer.tell(new PeerActor.Stop(e.request(), e.number()));
             return;
         }
@@ -455,19 +461,22 @@
         forget(r);
     }
 
-    /** Has what is held for the request released when its lease is over, unless another attempt has begun by then. */
+    /** Schedules the release of the held state for the end of its lease, unless another attempt has begun by then. */
     private void watchLease(OpenRequest r) {
         if (r.lease.held()) {
             Duration left = Duration.between(clock.instant(), r.lease.releaseBy(r.out));
             if (left.isNegative()) {
-                leaseOver(r); // the word that it follows on has waited: no time is left for a timer's way
+                leaseOver(r); // the message handled now was queued for too long: no time is left for a timer
             } else {
                 lookLater(r, left);
             }
         }
     }
 
-    /** The peer of an attempt that is out has a look itself first: another turn here might take all the time that is left. */
+    /**
+     * Schedules the check of a lease that runs out after this delay. While an attempt is in flight, its peer checks first whether
+     * the attempt has arrived: waiting for a turn of this actor might use up the time that is left for a release.
+     */
     private void lookLater(OpenRequest r, Duration left) {
         if (r.out && r.phase != Phase.OVER) {
             r.at.tellFirstLater(left, new PeerActor.AskArrival(r.key, r.attempts - 1));
@@ -499,20 +508,21 @@
         }
         Duration left = Duration.between(clock.instant(), r.lease.end());
         if (left.compareTo(Duration.ZERO) > 0) {
-            lookLater(r, left); // kept, and looked at once more
+            lookLater(r, left); // the state is kept; check once more
         }
     }
 
     /**
-     * Guards against a read that ended well just as its connection closed, of which the module was told otherwise; and once a
-     * request is over, against an attempt that can't be called off and has not arrived.
+     * Releases the held state because its lease has run out. Covers two cases that the module doesn't: a read that succeeded
+     * just as its connection closed, which was reported as failed; and, for a request that is over, an attempt that can't be
+     * cancelled and has not arrived.
      */
     private void leaseOver(OpenRequest r) {
         release(r, r.out ? ReleaseCause.UNANSWERED : ReleaseCause.UNTAKEN);
         feed(new Api.StateReleased(r.key));
     }
 
-    // ---- what the module asks ------------------------------------------------------------------
+    // ---- actions of the module -----------------------------------------------------------------
 
     private void act(Api.Action action) {
         if (action instanceof Api.Attempt a) {
@@ -560,7 +570,7 @@
         }
     }
 
-    /** Also of a server that has left the list: one at which an attempt is out may be probed. */
+    /** Also finds the peer of a server that has left the list: the module may probe it while an attempt there is in flight. */
     private PeerActor peer(String server) {
         PeerActor listed = peers.get(server);
         return listed != null
@@ -578,16 +588,16 @@
         if (r == null || peer == null) {
             recorder.note(Recorder.What.RULE, a.request(), 0, a.server(), "an attempt that can't be made", null);
             throw new IllegalStateException(
-                    "an attempt for " + (r == null ? "no request" : "no server: " + a.server()));
+                    "attempt for " + (r == null ? "an unknown request" : "an unknown server: " + a.server()));
         }
         boolean reading = roles.get(a.server()) == Api.Role.READER;
         Optional<Rule> broken = r.rules.againstAttempt(!reading, clock.instant());
         if (broken.isPresent()) {
             ruleBroken(r, broken.get());
-            throw new IllegalStateException("an attempt that the rules forbid: " + broken.get());
+            throw new IllegalStateException("attempt forbidden by rule " + broken.get());
         }
         if (r.lease.tooLateToConnect(clock.instant())) {
-            release(r, ReleaseCause.UNTAKEN); // the word of a read's end has waited
+            release(r, ReleaseCause.UNTAKEN); // the end of the read was reported late
         }
         if (!r.lease.cutReaders().isEmpty()) {
             releases.tell(new ReleaseActor.Taken(r.ask.id()));
@@ -644,12 +654,12 @@
             enter(r, r.stage());
             r.rules.againstAnswer(clock.instant()).ifPresent(rule -> ruleBroken(r, rule));
             over(r, what == Recorder.What.REFUSED ? Metrics.End.DEFERRED : Metrics.End.ERRORED);
-            closing.add(r); // first, as the answer may fail
+            closing.add(r); // before the answer, which may throw
             answer.accept(r);
         }
     }
 
-    /** Where the rules forbid a refusal, a failure is the final answer: its client must not take a retry for harmless. */
+    /** Fails the request where the rules forbid a refusal, which would tell the client that a retry is harmless. */
     private void refuse(OpenRequest r, Duration retryAfter) {
         Optional<Rule> broken = r.rules.againstRefusal();
         if (broken.isPresent()) {
@@ -663,23 +673,26 @@
     private void ruleBroken(OpenRequest r, Rule rule) {
         metrics.causes().add(CauseCounts.Kind.RULE_BROKEN, rule);
         note(Recorder.What.RULE, r, null, rule.name(), null);
-        LOG.warning("rule " + rule + ": request " + r.ask.id() + " of class " + r.ask.requestClass() + ", attempts "
+        LOG.warning("rule broken: " + rule + ", request " + r.ask.id() + " of class " + r.ask.requestClass() + ", attempts "
                 + r.attempts);
     }
 
-    /** The peer has the last word: a stream whose end is there by then, read or not, is passed on whole. */
+    /**
+     * Ends a stream so that its client resumes elsewhere. A stream whose end has already come in from the server is passed on
+     * whole instead.
+     */
     private void transfer(OpenRequest r) {
         if (r != null && r.phase == Phase.STREAMING) {
             r.at.tell(new PeerActor.Cut(r.key, r.attempts - 1));
         }
     }
 
-    /** The one place where a request's end is counted. */
+    /** Marks a request as over; the only place where its end is counted. */
     private void over(OpenRequest r, Metrics.End end) {
         boolean streamed = r.phase == Phase.STREAMING;
         r.phase = Phase.OVER;
         r.rules.ended();
-        r.until = streamed ? clock.instant() : r.until; // a stream's end is to come from now on
+        r.until = streamed ? clock.instant() : r.until; // the outcome of a stream is due from now on
         metrics.ended(r.ask.requestClass(), end);
     }
 
@@ -690,7 +703,7 @@
             Duration held = r.lease.heldFor(clock.instant());
             log.note(
                     r.ask.id(),
-                    "its read state is released: " + cause + ", held for " + held.toMillis() + " ms, " + attemptOf(r));
+                    "read state released: " + cause + ", held for " + held.toMillis() + " ms, " + attemptOf(r));
         }
         String first = r.lease.lastReader();
         if (r.lease.cutReaders().isEmpty()) {
@@ -711,7 +724,7 @@
         return "attempt " + Math.max(0, r.attempts - 1) + (r.out ? " out at " : " ended at ") + r.at.id();
     }
 
-    /** A request that is over is kept while an attempt of it is out. */
+    /** Removes a request that is over, but not while an attempt is in flight or a release is due. */
     private void forget(OpenRequest r) {
         if (r.phase == Phase.OVER) {
             byAnswer.remove(r.answer);
--- a/src/main/java/copperbeam/routing/ModuleTime.java
+++ b/src/main/java/copperbeam/routing/ModuleTime.java
@@ -4,7 +4,7 @@
 import java.time.Duration;
 import java.time.Instant;
 
-/** The one place where the module's double seconds meet the program's durations and instants. */
+/** Converts between the decision module's times in seconds, as doubles, and durations and instants. */
 public final class ModuleTime {
     private static final double NANOS = 1e9;
 
@@ -26,7 +26,7 @@
         return Instant.EPOCH.plus(span(seconds));
     }
 
-    /** Wall time that never goes back: the start by the system's clock, and what has passed by the steady one. */
+    /** Returns a wall clock that never goes back: the system time of this call plus the monotonic time elapsed since. */
     public static Clock steadyClock() {
         return new Clock() {
             private final Instant start = Instant.now();
--- a/src/main/java/copperbeam/routing/OpenRequest.java
+++ b/src/main/java/copperbeam/routing/OpenRequest.java
@@ -5,9 +5,12 @@
 import java.time.Duration;
 import java.time.Instant;
 
-/** One request from its arrival until its final answer is given and no attempt is out; {@link ModuleActor}'s alone. */
+/**
+ * State of one request from its arrival until its final answer has been given and no attempt is in flight. Confined to
+ * {@link ModuleActor}, except for {@link #phase}.
+ */
 final class OpenRequest {
-    /** In order; a request never goes back. */
+    /** Progress of a request; phases may be skipped but never go back. */
     enum Phase {
         OPEN,
         STREAMING,
@@ -18,13 +21,13 @@
     final Ask ask;
     final Answer answer;
     final RequestRules rules;
-    volatile Phase phase = Phase.OPEN; // read by the transport too, as an attempt's last byte leaves
+    volatile Phase phase = Phase.OPEN; // also read by the transport just before it sends the last byte of an attempt
     int attempts;
     boolean out;
-    Instant until; // when the attempt that is out should have ended, unless it is a stream
+    Instant until; // when the attempt in flight should have ended, unless it is streaming
     PeerActor at;
     final StateLease lease;
-    Outcome lastOutcome; // of the last attempt that has ended, null before
+    Outcome lastOutcome; // of the last attempt that ended; null before the first end
     boolean releaseWanted;
     private Stage stage = Stage.WAITS_FOR_READER;
     private Instant stageSince;
@@ -42,7 +45,7 @@
         return stage;
     }
 
-    /** It goes on to this stage; counts how long it was in the one before. */
+    /** Moves to the next stage and records the time spent in the current one. */
     void enter(Stage next, Instant now, StageTimes times) {
         times.stayed(ask.requestClass(), stage, Duration.between(stageSince, now));
         stage = next;
--- a/src/main/java/copperbeam/routing/PeerActor.java
+++ b/src/main/java/copperbeam/routing/PeerActor.java
@@ -14,9 +14,12 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.function.BooleanSupplier;
 
-/** Owns the connections to one server at one address, and the attempts, probes and releases that are out there. */
+/**
+ * Owns the connections to one server at one address, and the attempts, probes and releases in flight on them. Reports
+ * every outcome to the {@link ModuleActor}, or to the {@link ReleaseActor} for releases.
+ */
 public final class PeerActor extends Actor<PeerActor.Message> {
-    /** What this actor is told. */
+    /** The messages this actor handles. */
     public sealed interface Message
             permits Listed,
                     Gone,
@@ -41,20 +44,24 @@
                     IdleCheck,
                     SendLastByte {}
 
-    /** {@code drains}: no attempt begins any more, and nothing more is kept idle. */
+    /** The server is in the list. While it is {@code draining}, no attempt is started and no connection is kept idle. */
     public record Listed(boolean drains) implements Message {}
 
-    /** No longer listed: as one that drains, and what is idle is closed. */
+    /** The server has left the list: treated as draining, and its idle connections are closed. */
     public record Gone() implements Message {}
 
-    /** So many connections may stand idle here. */
+    /** Sets how many connections to this server may be kept idle. */
     public record Room(int idle) implements Message {}
 
     /**
-     * {@code until}: so long it is waited for, and its last byte leaves by then if ever; {@code latest}: its last byte may not
-     * leave after this, and no other attempt's either; {@code upBy}: its connection must be up by then, as what is held
-     * waits for it; {@code once}: must not run twice, so that no kept connection is risked for it;
-     * {@code reads}: this server is to read, not to write; {@code over}: the request has had its end, asked from any thread.
+     * Sends an attempt to the server.
+     *
+     * @param expiresAt the attempt times out at this time; its last byte never leaves later
+     * @param sendBy the last byte of this attempt, or of any other attempt of the request, may not leave after this time
+     * @param connectBy a new connection must be up by this time, because a held read state waits for the attempt
+     * @param atMostOnce the request must not run twice; such an attempt never uses a kept connection
+     * @param reads the server acts as a reader for this attempt, not as a writer
+     * @param requestOver tells from any thread whether the request already has its final answer
      */
     public record Send(
             long request,
@@ -68,7 +75,7 @@
             boolean reads,
             BooleanSupplier over)
             implements Message {
-        /** Nobody waits for it any more. */
+        /** The client has gone or the request already has its final answer. */
         boolean ended() {
             return answer.gone() || over.getAsBoolean();
         }
@@ -78,16 +85,22 @@
         }
     }
 
-    /** Closes the connection of an attempt, whatever it does. */
+    /** Cancels an attempt in whatever state it is, and closes its connection. */
     public record Stop(long request, int number) implements Message {}
 
-    /** The same for a stream, once all that its server has sent by now was passed on: its end may be among it. */
+    /**
+     * Cancels a streaming attempt, but only after everything its server has sent by now was passed on: the end of the
+     * stream may be among it.
+     */
     public record Cut(long request, int number) implements Message {}
 
-    /** The module's side has taken the first event. */
+    /** The {@link ModuleActor} has accepted the first event, so the stream may be passed on to the client. */
     public record Proceed(long request, int number) implements Message {}
 
-    /** Asks whether the attempt has arrived, as far as other calls show it; {@link ModuleActor.ArrivalShown} is the answer. */
+    /**
+     * Asks whether answers to other calls show that the attempt has arrived at the server; answered with
+     * {@link ModuleActor.ArrivalStatus}.
+     */
     public record AskArrival(long request, int number) implements Message {}
 
     /** Sends a health probe. */
@@ -98,7 +111,10 @@
 
     private record Up(ServerCall work, Connection connection) implements Message {}
 
-    /** {@code connect}: the number of the connect that failed; an earlier one's word says nothing of a later one. */
+    /**
+     * A connect failed or took too long. {@code connectNumber} tells which connect of the call it was, so that a late
+     * message about an earlier connect is ignored.
+     */
     private record NotUp(ServerCall work, int connect) implements Message {}
 
     private record Closed(Connection connection) implements Message {}
@@ -107,7 +123,10 @@
 
     private record Event(ServerCall work, byte[] raw) implements Message {}
 
-    /** {@code at}: when the transport heard it; the mailbox may be long, and what a read left is held from then on. */
+    /**
+     * The answer is complete. {@code endedAt} is when the transport saw its end, which may be long before the mailbox gets to
+     * this message; the lease of a read state counts from then.
+     */
     private record Ended(ServerCall work, boolean reusable, double kept, Instant at) implements Message {}
 
     private record Broken(ServerCall work, boolean written, Instant at) implements Message {}
@@ -116,14 +135,17 @@
 
     private record SilenceCheck(ServerCall work) implements Message {}
 
-    /** Whether the reset of a call that was ended here has left; {@code looks}: so often it was looked for. */
+    /**
+     * Checks whether the TCP reset of a call that was terminated here has been sent. {@code checks}: how many checks came
+     * before.
+     */
     private record ResetCheck(ServerCall work, Outcome outcome, int looks) implements Message {}
 
     private record IdleCheck() implements Message {}
 
     private record SendLastByte(ServerCall work, Connection on) implements Message {}
 
-    /** What all peers share and none of them changes. */
+    /** Settings and collaborators that all peers share; immutable. */
     public record Setup(
             Clock clock,
             Connector connector,
@@ -135,16 +157,18 @@
             Recorder recorder,
             Metrics metrics) {}
 
-    private static final Duration SILENCE = Duration.ofSeconds(4); // of a stream; its client may wait for 5
-    // of a last byte: nine in ten of the breaks that were on their way came within it
+    private static final Duration SILENCE = Duration.ofSeconds(4); // maximum gap in a stream; clients may give up after 5 s
+    // how long the last byte of a request is held back, so that a connection that the server is already closing is noticed
+    // before the request can run: nine in ten of such breaks arrive within this time
     private static final Duration HOLD = Duration.ofMillis(2);
     private static final Duration SHORT_ANSWER =
-            Duration.ofMillis(800); // from the head of one that is no stream to its end
-    // from a connection's choice to the head: half of the second in which a drain has to be acted on
+            Duration.ofMillis(800); // from the head to the end of an answer that is not a stream
+    // from the choice of a connection to the first byte of the request: half of the second within which a drain must take
+    // effect
     private static final Duration MOST_ON_THE_WAY = Duration.ofMillis(500);
-    private static final int MOST_UNSENT = 3; // new connections for one attempt
+    private static final int MOST_UNSENT = 3; // new connections that one call may use up
     private static final Duration RESET_LOOK = Duration.ofMillis(1);
-    private static final int MOST_RESET_LOOKS = 250; // a reactor that is held up so long must not hold up the outcome
+    private static final int MOST_RESET_LOOKS = 250; // about 250 ms: a stalled reactor must not delay the outcome longer
 
     private final String id;
     private final InetSocketAddress address;
@@ -152,7 +176,7 @@
     private final Map<Long, ServerCall> attempts = new HashMap<>();
     private final IdleConnections idle;
     private final AnsweredConnections answered = new AnsweredConnections();
-    private volatile boolean drains; // read by the transport too
+    private volatile boolean drains; // also read on the transport's thread
     private Future<?> tidying;
 
     public PeerActor(ScheduledExecutorService turns, String id, InetSocketAddress address, Setup setup) {
@@ -259,7 +283,7 @@
         if (unwanted(work, true)) {
             return;
         }
-        // what is written on a kept connection as its server closes it may have run, and nobody can tell
+        // a request written on a kept connection while the server closes it may or may not have run: there is no way to tell
         boolean fresh = work.send() != null && work.send().once();
         IdleConnections.Idle kept = fresh ? null : idle.take();
         if (kept == null) {
@@ -275,7 +299,7 @@
         use(work, kept.connection());
     }
 
-    /** Guards against an answer that does not end: its call would wait for as long as its client. */
+    /** Bounds the rest of an answer, so that one that never ends doesn't occupy its call until the client's deadline. */
     private void endBy(ServerCall work, Duration within) {
         Duration left = Duration.between(setup.clock().instant(), work.until);
         if (!work.done && within.compareTo(left) < 0) {
@@ -287,7 +311,8 @@
     private void connect(ServerCall work) {
         work.reused = false;
         work.ended = null;
-        // HttpCore looks only now and then: 250 ms became up to 600, in which a read state is held
+        // own timer: HttpCore checks its timeouts only at intervals, so that a connect timeout of 250 ms took up to 600 ms,
+        // while a read state stays held
         Instant now = setup.clock().instant();
         int connect = ++work.connects;
         tellLater(Duration.between(now, work.upBy(now.plus(setup.connectTimeout()))), new NotUp(work, connect));
@@ -320,8 +345,11 @@
     }
 
     /**
-     * Ends an attempt that may not be written any more, though the module chose it: its client has gone, its own time or that
-     * for any repeat is over, or, for its {@code first} byte, its server drains. Guards against connections that come up late.
+     * Terminates an attempt that may no longer be sent although the module chose it, as when its connection came up late:
+     * the client has gone, the attempt has expired, the time to send any attempt of the request is over, or, as long as no
+     * byte was sent ({@code beforeFirstByte}), the server is draining.
+     *
+     * @return whether the attempt was terminated
      */
     private boolean unwanted(ServerCall work, boolean first) {
         boolean closed = first && drains;
@@ -339,9 +367,10 @@
     }
 
     /**
-     * Whether the head of a call that was handed to the transport at {@code since} may still leave, asked on its thread.
-     * Guards against a reactor or a process that stood still in between: a drain was told meanwhile, or stands unread on the
-     * same reactor. The connection is broken instead, and the attempt looked at anew once that is read.
+     * Whether the head of a call that was handed to the transport at {@code dispatchedAt} may still be sent; evaluated on
+     * the transport's thread. If the reactor or the process stalled in between, the server may have started to drain, or
+     * the message that says so may still be unread on the same reactor. The transport then breaks the connection, and the
+     * attempt is checked again when that is reported here.
      */
     private BooleanSupplier mayBegin(Instant since) {
         return () -> !drains && !setup.clock().instant().isAfter(since.plus(MOST_ON_THE_WAY));
@@ -356,7 +385,7 @@
     private void use(ServerCall work, Connection connection) {
         work.connection = connection;
         work.written = setup.clock().instant();
-        // what is held hangs on these, which must not wait behind the events of many streams
+        // the end of a lease depends on reads and releases, so their messages must not queue behind the events of many streams
         boolean first = work.order instanceof Release
                 || work.send() != null && work.send().reads();
         Connector.Call call;
@@ -434,7 +463,7 @@
         }
     }
 
-    // ---- what comes back -----------------------------------------------------------------------
+    // ---- answers -------------------------------------------------------------------------------
 
     private void event(ServerCall work, byte[] raw) {
         if (work.done || work.send() == null) {
@@ -447,7 +476,7 @@
             work.held.add(raw);
         } else if (work.word == Word.STREAM) {
             work.offered = true;
-            // behind a crowd's requests it would reach its client late
+            // urgent: queued behind many new requests it would reach its client late
             setup.module()
                     .tellFirst(new ModuleActor.FirstEvent(
                             work.send().request(),
@@ -474,8 +503,8 @@
     }
 
     /**
-     * Guards against a stream that stops without its connection closing, as where the server has lost its
-     * count of a chunk: its client would wait for good. A client that takes nothing is no silence.
+     * Ends a stream that stalls while its connection stays open, as when the server miscounts the bytes of a chunk; its
+     * client would wait forever. A stream that pauses because its client doesn't read (flow control) is not a stall.
      */
     private void checkSilence(ServerCall work) {
         if (work.done) {
@@ -520,20 +549,21 @@
         if (work.done) {
             return;
         }
-        // who answers before the last byte may have run something, and a second answer must not follow on the first
+        // a server that answered before the last byte was sent may have run something, and a second answer must not follow
+        // the first
         boolean written = lastByteLeft || work.word != null;
         note(Recorder.What.WORD, work, written ? "BROKEN" : "BROKEN before the last byte", null);
         if (!written && unwanted(work, true)) {
             return;
         }
         if (!written && (work.reused || ++work.unsent < MOST_UNSENT)) {
-            // the server ended the connection before the last byte left: nothing ran, so a new one may be tried
+            // the connection ended before the last byte was sent: nothing ran, so a new connection may be tried
             work.connection = null;
             connect(work);
         } else if (work.offered && !work.proceeding) {
             work.cut = true;
         } else if (written && work.reused && work.word == null) {
-            idle.closeAll(); // the others here may have ended as well
+            idle.closeAll(); // the server's other idle connections may be dead as well
             finish(work, Outcome.STALE);
         } else if (work.refused()) {
             finish(work, Outcome.FULL);
@@ -546,14 +576,15 @@
         if (work.done || work.offered) {
             return;
         }
-        // a connection that never came up proves that nothing ran
+        // without a connection, nothing can have run
         Outcome silent = work.connection == null ? Outcome.CONNECT_FAILED : Outcome.TIMED_OUT;
         finish(work, work.refused() ? Outcome.FULL : work.word == null ? silent : Outcome.ERROR);
     }
 
     /**
-     * Ends a call and its connection, so that no attempt is left out there. One without an answer ends with a reset: of a close
-     * the system would go on delivering what it has of the request, to a server that reads late or is cut off for a while.
+     * Terminates a call and its connection, so that no attempt stays in flight. A call without an answer is ended with a
+     * TCP reset: after an ordinary close the kernel would go on delivering the buffered request, even to a server that reads
+     * late or can't be reached for a while.
      */
     private void finish(ServerCall work, Outcome outcome) {
         if (work.done) {
@@ -573,7 +604,7 @@
         awaitReset(work, outcome, 0);
     }
 
-    /** The outcome is told once the reset has left: the answer or the next attempt that follows must not overtake it. */
+    /** Reports the outcome once the reset was sent: the client's answer or the next attempt must not overtake it. */
     private void awaitReset(ServerCall work, Outcome outcome, int looks) {
         if (work.connection.released() || looks >= MOST_RESET_LOOKS) {
             settle(work, outcome);
@@ -589,12 +620,11 @@
     private void settle(ServerCall work, Outcome outcome) {
         work.done = true;
         work.held.clear();
-        work.expiry.cancel(false); // or the request's body would stay until then
+        work.expiry.cancel(false); // else the timer would keep the request's body in memory until it fires
         if (work.order instanceof Send s) {
             attempts.remove(s.request(), work);
-            // behind a crowd's requests a stream's end would come late, and what a read left be held too long; what is
-            // told
-            // first keeps its order, an attempt's first event before its end
+            // urgent: queued behind many new requests, the end of a stream would come late and a read state would be held
+            // too long; urgent messages keep their order, so the first event of an attempt still comes before its end
             setup.module()
                     .tellFirst(new ModuleActor.Ended(
                             s.request(),
--- a/src/main/java/copperbeam/routing/Recorder.java
+++ b/src/main/java/copperbeam/routing/Recorder.java
@@ -2,9 +2,9 @@
 
 import java.time.Duration;
 
-/** Takes note of what happens to requests, on the actors' thread alone. Bounded work: it neither blocks nor throws. */
+/** Records what happens to requests. Called on the actors' thread only; must take bounded time and neither block nor throw. */
 public interface Recorder {
-    /** What is noted; which fields tell more stands with the recording's format. */
+    /** Type of a recorded event; the recording's format describes which fields each type uses. */
     enum What {
         ARRIVED,
         ATTEMPT,
@@ -28,8 +28,10 @@
     Recorder NONE = (what, request, attempt, server, text, span) -> {};
 
     /**
-     * @param request 0: none
-     * @param server null: none, as {@code text} and {@code span}
+     * Records one event.
+     *
+     * @param request key of the request, 0 for none
+     * @param server null for none, as are {@code text} and {@code duration}
      */
     void note(What what, long request, int attempt, String server, String text, Duration span);
 }
--- a/src/main/java/copperbeam/routing/ReleaseActor.java
+++ b/src/main/java/copperbeam/routing/ReleaseActor.java
@@ -13,58 +13,61 @@
 import java.util.concurrent.ScheduledExecutorService;
 
 /**
- * Owns what must be let go. Any running server takes the word for all, so a release is tried at one server
- * after another, at four times as many after each silence, until one has heard it. Guards against states left pinned
- * because the one asked was down, or four in five are.
+ * Delivers releases of read states. Any running server accepts a release on behalf of all, so a release is tried at one
+ * server after another, and at four times as many after each period without an answer, until one confirms it. Guards against
+ * states that stay pinned because the server asked was down, or because four in five servers are.
  */
 public final class ReleaseActor extends Actor<ReleaseActor.Message> {
-    /** What this actor is told. */
+    /** Messages of this actor. */
     public sealed interface Message permits Listed, Release, Taken, Tried, Hedge, Again, Drain {}
 
-    /** The servers that can be asked now, by their ids. */
+    /** The servers that can be asked now, by id. */
     public record Listed(Map<String, PeerActor> peers) implements Message {}
 
     /**
-     * {@code first}: the server asked first, or null. {@code until}: null, or so long a read may yet end well there, whose
-     * connection was closed or broke: the release is said again and again until that server itself has heard it, and once more.
+     * Releases the read state of the request with this id. {@code preferredServer}: the server asked first, or null.
+     * {@code readMayEndUntil}: null, or the time until which an interrupted read at that server may still succeed; until then the
+     * release is repeated, but only once more after that server itself has confirmed it.
      */
     public record Release(String id, String first, Instant until) implements Message {}
 
-    /** An attempt is out again: what a cut read may yet leave is let go after it. */
+    /** A new attempt of the request is in flight: stops the repeats; states that interrupted reads leave are released after it. */
     public record Taken(String id) implements Message {}
 
-    /** One server was asked for a release; {@code heard}: it confirmed. */
+    /** Result of asking one server for a release; {@code confirmed}: the server confirmed it. */
     public record Tried(long ticket, String at, boolean heard) implements Message {}
 
-    /** Runs {@code idle} as soon as nothing is left to let go. */
+    /** Runs {@code onIdle} as soon as no release is pending; overdue releases are abandoned. */
     public record Drain(Runnable idle) implements Message {}
 
     private record Hedge(long ticket, int step) implements Message {}
 
     private record Again(long ticket) implements Message {}
 
-    private static final Duration HEDGE = Duration.ofMillis(120); // silence after which others are asked too
-    private static final Duration AGAIN = Duration.ofMillis(250); // for a read that may have ended as it was cut
-    private static final int WIDER = 4; // at so many times as many after each silence
-    private static final int MOST_AT_ONCE = 1024;
-    private static final int MOST_AGAIN = 8; // the same once all have been asked: as where nothing can be reached
-    private static final int OUTLASTS = 16; // times the usual, where nobody has heard: an outage or a cut from all
+    private static final Duration HEDGE = Duration.ofMillis(120); // longest time without an answer until more servers are asked
+    // delay of the last repeat: the preferred server may have confirmed just before its interrupted read succeeded
+    private static final Duration AGAIN = Duration.ofMillis(250);
+    private static final int WIDER = 4; // growth of the number of servers asked, after each hedge delay
+    private static final int MOST_AT_ONCE = 1024; // servers asked in one round
+    private static final int MOST_AGAIN = 8; // the same once all servers have been asked, as when none is reachable
+    // once overdue, an unconfirmed release is tried for this many times the usual time, to outlast an outage or a partition
+    private static final int OUTLASTS = 16;
 
     private static final class Open {
         final String id;
         final String first;
         Instant until;
         Instant giveUp;
-        boolean resting; // heard, and to be said again
-        boolean heard; // by some server, ever
-        boolean heardFirst; // by the server that may yet hold something
+        boolean resting; // this round is done, the next one is scheduled
+        boolean heard; // by any server, in any round
+        boolean heardFirst; // by the server that may still hold a state
         final Instant askedAt;
         final Set<String> tried = new HashSet<>();
         final Set<String> out = new HashSet<>();
         int step;
         int width = 1;
         int most;
-        boolean late; // nobody has heard in the usual time: asked on, one at a time
+        boolean late; // not confirmed within the usual time: servers are asked one at a time
 
         Open(Release order, Instant askedAt) {
             this.askedAt = askedAt;
@@ -85,13 +88,13 @@
     private int turn;
     private Runnable idle;
 
-    /** {@code within}: tried for so long. */
+    /** {@code tryDuration}: how long a release is usually tried. */
     public ReleaseActor(ScheduledExecutorService turns, Clock clock, Duration within) {
         super(turns);
         this.clock = clock;
         log = new RequestLog(clock);
         this.within = within;
-        // three of them, by which 85 servers have been asked, fit into the half of release_s that is left for them
+        // three hedges, after which 85 servers have been asked, fit into the half of release_s that is left for releases
         Duration share = within.dividedBy(16);
         hedge = share.compareTo(HEDGE) < 0 ? share : HEDGE;
     }
@@ -102,7 +105,7 @@
             peers = e.peers();
             heardFrom.retainAll(peers.keySet());
         } else if (m instanceof Release e) {
-            open.values().removeIf(o -> o.id.equals(e.id()) && Objects.equals(o.first, e.first())); // said anew
+            open.values().removeIf(o -> o.id.equals(e.id()) && Objects.equals(o.first, e.first())); // replaced by the new one
             open.put(++tickets, new Open(e, clock.instant()));
             begin(tickets);
         } else if (m instanceof Taken e) {
@@ -156,17 +159,17 @@
         o.heardFirst |= e.heard() && e.at().equals(o.first);
         if (e.heard() && !o.resting) {
             if (o.tried.size() > 1) {
-                log.note(o.id, "its release was heard by " + e.at() + ", of " + asked(o));
+                log.note(o.id, "release confirmed by " + e.at() + ", of " + asked(o));
             }
             over(e.ticket(), o);
-            // the outage is over, for this one and so for the others
+            // the outage is over: ask again for all other overdue releases
             new HashMap<>(open).forEach((ticket, other) -> {
                 if (other.late) {
                     ask(ticket, other);
                 }
             });
         } else if (!o.resting && !o.late && o.out.isEmpty() && !o.tried.containsAll(peers.keySet())) {
-            ask(e.ticket(), o); // where all have failed, not before the next hedge: refusals come at once
+            ask(e.ticket(), o); // once all have failed, wait for the next hedge: refused connections fail at once
         }
     }
 
@@ -176,7 +179,7 @@
         boolean outlasted = now.isAfter(o.giveUp.plus(within.multipliedBy(OUTLASTS)));
         if (o.late && (o.heard || idle != null || outlasted)) {
             if (!o.heard) {
-                log.note(o.id, "its release is given up, heard by none of " + asked(o));
+                log.note(o.id, "release abandoned, confirmed by none of " + asked(o));
             }
             over(ticket, o);
             return;
@@ -211,7 +214,7 @@
         }
     }
 
-    /** One not tried yet, and of these rather one that has heard before. */
+    /** Returns a server not tried yet: the preferred one if possible, else rather one that has confirmed a release before. */
     private String next(Open o) {
         if (o.first != null && peers.containsKey(o.first) && !o.tried.contains(o.first)) {
             return o.first;
--- a/src/main/java/copperbeam/routing/RequestHook.java
+++ b/src/main/java/copperbeam/routing/RequestHook.java
@@ -2,15 +2,18 @@
 
 import java.time.Duration;
 
-/** Sees each request before the module does. */
+/** A plug-in's hook that is called for each request before the decision module sees it. */
 public interface RequestHook {
-    /** {@code refuseFor} not null: refused with this advice; {@code requestClass} not null: the class from now on. */
+    /**
+     * {@code retryAfter}: if not null, the request is refused with this advice how long to wait before a retry;
+     * {@code requestClass}: if not null, the request's new class.
+     */
     record Verdict(Duration refuseFor, String requestClass) {
         public static final Verdict PASS = new Verdict(null, null);
     }
 
     String name();
 
-    /** What it throws is logged, and the request goes on as it was. */
+    /** Judges a request. An exception is logged, and the request continues unchanged. */
     Verdict onRequest(Ask ask) throws Exception;
 }
--- a/src/main/java/copperbeam/routing/RequestLog.java
+++ b/src/main/java/copperbeam/routing/RequestLog.java
@@ -6,13 +6,13 @@
 import java.util.logging.Logger;
 
 /**
- * Log lines about single requests, each with its id. Of so many that they would fill the log, as where every server is silent, the
- * first of each second are written and the others counted. One owner, as it counts without locks.
+ * Rate-limited log lines about single requests, each with the request's id. Only the first lines of each second are written and
+ * the others are counted, so that an outage of all servers doesn't flood the log. Not thread-safe.
  */
 final class RequestLog {
     private static final Logger LOG = Logger.getLogger(RequestLog.class.getName());
     private static final Duration WINDOW = Duration.ofSeconds(1);
-    private static final int MOST_LINES = 50; // in each window
+    private static final int MOST_LINES = 50; // per window
 
     private final Clock clock;
     private Instant windowEnd = Instant.MIN;
@@ -38,7 +38,7 @@
 
     private void reportOmitted() {
         if (lines > MOST_LINES) {
-            LOG.info((lines - MOST_LINES) + " lines about requests were left out");
+            LOG.info((lines - MOST_LINES) + " log lines about requests were omitted");
         }
     }
 }
--- a/src/main/java/copperbeam/routing/ServerCall.java
+++ b/src/main/java/copperbeam/routing/ServerCall.java
@@ -7,49 +7,53 @@
 import java.util.Deque;
 import java.util.concurrent.Future;
 
-/** One call to a server, from its wait for a connection to its end; its {@link PeerActor} alone reads and changes it. */
+/**
+ * The state of one call to a server (attempt, probe or release), from its wait for a connection to its end. Confined to its
+ * {@link PeerActor}.
+ */
 final class ServerCall {
     final PeerActor.Message order;
     final Instant began;
     Instant until;
     Future<?> expiry;
-    Instant written; // when a connection took it, null before
-    Instant heard; // when the last event came
-    Instant ended; // when its connection's last word came, null where it has none or it was closed here
+    Instant written; // when it was handed to a connection; null before
+    Instant heard; // when the last event of the stream arrived
+    Instant ended; // when the answer ended or the connection broke or was reset; null before, and after an ordinary close here
     Connector.Connection connection;
     boolean reused;
-    int connects; // connections asked for
-    int unsent; // new connections that ended before the last byte left
+    int connects; // connects started
+    int unsent; // new connections that ended before the last byte was sent
     boolean done;
-    boolean offered; // the first event went to the module
-    boolean proceeding;
-    boolean whole; // ended well while the first event was still with the module
-    boolean cut; // the same, but broken
+    boolean offered; // the first event was sent to the ModuleActor
+    boolean proceeding; // the ModuleActor has accepted the first event
+    boolean whole; // the answer was completed before the ModuleActor accepted the first event
+    boolean cut; // the connection broke before the ModuleActor accepted the first event
     Connector.Word word;
     Report report;
-    double kept = Double.NaN; // see Connector.Listener
-    final Deque<byte[]> held = new ArrayDeque<>();
+    double kept = Double.NaN; // see Connector.CallListener.end
+    final Deque<byte[]> held = new ArrayDeque<>(); // events after the first, until the ModuleActor accepts that
 
     ServerCall(PeerActor.Message order, Instant began) {
         this.order = order;
         this.began = began;
     }
 
+    /** The attempt that this call carries, or null for a probe or a release. */
     PeerActor.Send send() {
         return order instanceof PeerActor.Send s ? s : null;
     }
 
-    /** When a connection for it must be up that would have until {@code usual}. */
+    /** When a new connection for this call must be up: {@code defaultDeadline}, or earlier if the attempt requires it. */
     Instant upBy(Instant usual) {
         return send() != null && send().upBy().isBefore(usual) ? send().upBy() : usual;
     }
 
-    /** The head of its answer says that nothing ran, whatever becomes of the rest. */
+    /** The head of the answer says that the server did not run the request; this holds even if the rest is lost. */
     boolean refused() {
         return word == Connector.Word.TURNED_AWAY || word == Connector.Word.STATE_MISSING;
     }
 
-    /** Of a call whose answer is whole. */
+    /** The outcome of a call whose answer is complete. */
     Outcome answered() {
         return switch (word == null ? Connector.Word.ERROR : word) {
             case STREAM -> proceeding ? Outcome.OK : Outcome.ERROR;
@@ -60,9 +64,10 @@
         };
     }
 
+    /** Returns a task that extends the receive window by the size of this event. */
     Runnable granting(byte[] raw) {
         Connector.Connection granted = connection;
-        // none any more where the stream was whole before its first event was taken
+        // null if the stream was complete before its first event was accepted
         return granted == null ? () -> {} : () -> granted.grant(raw.length);
     }
 }
--- a/src/main/java/copperbeam/routing/StageTimes.java
+++ b/src/main/java/copperbeam/routing/StageTimes.java
@@ -8,9 +8,12 @@
 import java.util.concurrent.atomic.LongAdder;
 import java.util.stream.Collectors;
 
-/** How long requests of each class were in which stage, and in which stage they ended how: for the log, read from any thread. */
+/**
+ * Time that requests of each class spent in each stage, and counts of the final answers given in each stage, by cause. For the
+ * log; thread-safe.
+ */
 public final class StageTimes {
-    /** Where a request is until its first event. */
+    /** Stage of a request before the first event of its stream. */
     public enum Stage {
         WAITS_FOR_READER,
         READING,
@@ -31,7 +34,7 @@
         }
     }
 
-    /** Of one class in one stage. */
+    /** Counts of one class in one stage. */
     private static final class Counts {
         private final LongAdder stays = new LongAdder();
         private final LongAdder millis = new LongAdder();
@@ -46,14 +49,14 @@
 
     private final Map<Key, Counts> counts = new ConcurrentHashMap<>();
 
-    /** A request was in this stage for so long. */
+    /** Adds the time that a request spent in this stage. */
     public void stayed(String requestClass, Stage stage, Duration span) {
         Counts c = counts(requestClass, stage);
         c.stays.increment();
         c.millis.add(span.toMillis());
     }
 
-    /** A request got its final answer in this stage. */
+    /** Counts a request that was refused or failed in this stage. */
     public void ended(String requestClass, Stage stage, Enum<?> cause) {
         counts(requestClass, stage)
                 .ends
@@ -61,7 +64,7 @@
                 .increment();
     }
 
-    /** How many requests ended there for this cause. */
+    /** Number of requests that ended in this stage for this cause. */
     public long ends(String requestClass, Stage stage, Enum<?> cause) {
         LongAdder count = counts(requestClass, stage).ends.get(cause.name());
         return count == null ? 0 : count.sum();
@@ -71,7 +74,7 @@
         return counts.computeIfAbsent(new Key(requestClass, stage), key -> new Counts());
     }
 
-    /** {@code CLASS.STAGE=N in M ms {CAUSE=N}}, in the order of classes and stages. */
+    /** {@code CLASS.STAGE=N in M ms {CAUSE=N}}, sorted by class and stage; N stays took M ms in all. */
     @Override
     public String toString() {
         return new TreeMap<>(counts)
--- a/src/main/java/copperbeam/routing/StateLease.java
+++ b/src/main/java/copperbeam/routing/StateLease.java
@@ -9,21 +9,23 @@
 import java.util.Set;
 
 /**
- * What servers may hold for one request, and until when. A read state has to be taken by an attempt or released within the
- * settings' {@code release_s} of the last end of an attempt that arrived. An attempt without an answer may have arrived or not (its
- * server may be cut off, its connection dead), so that only an answer renews the lease, and an attempt that is out does not stop
- * it. Without I/O or clock.
+ * Lease of the read state that servers may hold for one request. The state has to be taken by an attempt or released within
+ * the settings' {@code release_s} after the end of the last attempt that arrived at its server. Whether an attempt without an
+ * answer arrived is unknown (its server may be cut off, its connection dead). So only an answer renews the lease, and an
+ * attempt in flight does not suspend it. Does no I/O and reads no clock.
  */
 final class StateLease {
-    /** Parts of {@code release_s}. Behind each there must be time left for a release to be heard by some server. */
-    private static final double IDLE_SHARE = 0.5; // while no attempt is out
+    // Shares of release_s that may pass since the start of the lease. Each leaves time for a release to reach some server
+    // before the whole has passed.
+    private static final double IDLE_SHARE = 0.5; // until the state is released while no attempt is in flight
 
-    private static final double UNANSWERED_SHARE = 0.85; // while one is out
-    private static final double END_SHARE = 0.95; // the same, for the second look
-    private static final double CONNECT_SHARE = 0.6; // until a connection for an attempt must be up
-    private static final double LEAST_CONNECT_S = 0.1; // the same where nothing is held; the protocol's grace bears it
+    private static final double UNANSWERED_SHARE = 0.85; // until the first check of an attempt in flight
+    private static final double END_SHARE = 0.95; // until the second and last check of an attempt in flight
+    private static final double CONNECT_SHARE = 0.6; // until an attempt's connection must be up
+    // minimum time for a connect after an interrupted read while no state is known to be held; the protocol's grace covers it
+    private static final double LEAST_CONNECT_S = 0.1;
 
-    /** Ends of a read that may have ended well just then, or may yet. */
+    /** Failed outcomes after which the server may still have finished the read, or may yet finish it, and hold its state. */
     private static final Set<Outcome> MAY_END_WELL =
             EnumSet.of(Outcome.CANCELLED, Outcome.TIMED_OUT, Outcome.RESET, Outcome.STALE, Outcome.ERROR);
 
@@ -33,39 +35,45 @@
     private boolean reading; // the last attempt is at a reader
     private Instant since; // null while nothing is held
 
-    /** {@code releaseS}: the settings' time for what is held. */
+    /** {@code releaseS}: the settings' {@code release_s}, the time in seconds for which a state may stay held. */
     StateLease(double releaseS) {
         term = ModuleTime.span(releaseS);
     }
 
-    /** Readers whose reads were cut off: each may hold a state, or come to, without having told. */
+    /** Readers whose reads were interrupted: each may hold a state, or come to hold one, without having reported it. */
     List<String> cutReaders() {
         return cutReaders;
     }
 
-    /** The reader of the last read, null before the first. */
+    /** The server of the last read attempt; null before the first. */
     String lastReader() {
         return lastReader;
     }
 
-    /** Something may be held that was not released since. */
+    /** Whether a server may hold a state that has not been released since. */
     boolean held() {
         return since != null;
     }
 
-    /** For how long, if something is held. */
+    /** Time since the lease began or was last renewed; only while {@link #isHeld}. */
     Duration heldFor(Instant now) {
         return Duration.between(since, now);
     }
 
-    /** A release is not said again for cut reads while an attempt is out, so that the lease covers what they yet leave. */
+    /**
+     * Records that an attempt begins. Releases for interrupted reads are not repeated while an attempt is in flight, so the
+     * lease also covers the states that these reads may yet leave.
+     */
     void attemptBegan(String server, boolean reads, Instant now) {
         reading = reads;
         lastReader = reads ? server : lastReader;
         since = since == null && !cutReaders.isEmpty() ? now : since;
     }
 
-    /** {@code connected}: the attempt had a connection; {@code at}: when its last word came or its connection was closed. */
+    /**
+     * Records the end of an attempt. {@code connected}: it had a connection; {@code endedAt}: when its last message came or its
+     * connection was closed.
+     */
     void attemptEnded(Outcome outcome, String server, boolean connected, Instant at) {
         if (reading && connected && MAY_END_WELL.contains(outcome)) {
             cutReaders.add(server);
@@ -76,29 +84,29 @@
         }
     }
 
-    /** A writer has taken the state, or it was released. */
+    /** Ends the lease: a writer has taken the state, or it was released. */
     void ended() {
         since = null;
     }
 
-    /** When what is held has to be released; {@code out}: while an attempt is out. */
+    /** When the state has to be released, or checked first if an attempt is in flight ({@code attemptInFlight}). */
     Instant releaseBy(boolean out) {
         return after(since, out ? UNANSWERED_SHARE : IDLE_SHARE);
     }
 
-    /** After this what is held may not be kept for an attempt that may not have arrived. */
+    /** Latest time until which the state may be kept for an attempt that may not have arrived. */
     Instant end() {
         return after(since, END_SHARE);
     }
 
-    /** Whether no connection could come up in time for an attempt that begins now. */
+    /** Whether it is too late for an attempt that begins now to get its connection in time. */
     boolean tooLateToConnect(Instant now) {
         return held() && !now.isBefore(after(since, cutReaders.isEmpty() ? CONNECT_SHARE : IDLE_SHARE));
     }
 
     /**
-     * When the connection of the next attempt must be up. Guards against a cut read that ends well behind its release, while a
-     * server that is silent lets a connection hang.
+     * When the connection of the next attempt must be up. Guards against an interrupted read that succeeds after its release
+     * while a connect to an unresponsive server hangs.
      */
     Instant connectBy(Instant now) {
         if (held()) {
--- a/src/test/java/copperbeam/routing/ActorTest.java
+++ b/src/test/java/copperbeam/routing/ActorTest.java
@@ -16,7 +16,10 @@
         };
     }
 
-    /** Guards against an actor that is silent for good, and all requests with it, after the JVM has failed once. */
+    /**
+     * An actor keeps handling messages after one has failed, also with an Error as the JVM throws it when no file
+     * descriptor is left. Otherwise it and all its requests would stop for good.
+     */
     @Test(dataProvider = "faults")
     public void anActorOutlivesWhateverAMessageMeets(Throwable fault) throws Exception {
         ScheduledThreadPoolExecutor turns = new ScheduledThreadPoolExecutor(1);
--- a/src/test/java/copperbeam/routing/CutTest.java
+++ b/src/test/java/copperbeam/routing/CutTest.java
@@ -14,9 +14,13 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** A stream that its server ends in the very moment in which a stop cuts it. */
+/** A stream whose server ends it at the moment at which this process cuts it because it is about to exit. */
 public class CutTest {
-    /** Words: what comes from the server and the cut, in their order; all are there before anybody has had a turn. */
+    /**
+     * First the steps, in order: what comes from the server, the cut, and a crowd of new requests; all are queued before any
+     * actor has its turn ({@code unread}: the end of the stream is still unread when the cut is handled). Then the calls that
+     * the response sink must receive.
+     */
     @DataProvider
     public Object[][] orders() {
         return new Object[][] {
@@ -53,7 +57,7 @@
                     getClass().getClassLoader(),
                     new Class<?>[] {Answer.class},
                     (proxy, method, args) ->
-                            ++crowded[0] < 100 || heard.append("crowd ") != null); // gone, each of them
+                            ++crowded[0] < 100 || heard.append("crowd ") != null); // their clients have all gone
             Connector.Listener[] listener = new Connector.Listener[1];
             Connector.Connection connection = (Connector.Connection) Proxy.newProxyInstance(
                     getClass().getClassLoader(), new Class<?>[] {Connector.Connection.class}, (proxy, method, args) -> {
@@ -137,7 +141,7 @@
         }
     }
 
-    /** Each turn of an actor may ask for one of another. */
+    /** Runs enough turns for all actors, since each turn of one may schedule a turn of another. */
     private static void settle(ScheduledThreadPoolExecutor turns) throws Exception {
         for (int i = 0; i < 20; i++) {
             turns.submit(() -> {}).get();
--- a/src/test/java/copperbeam/routing/FinalAnswerTest.java
+++ b/src/test/java/copperbeam/routing/FinalAnswerTest.java
@@ -22,7 +22,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Each request gets one final answer by its time, also where a turn of the module's actor fails on it. */
+/** Each request gets exactly one final answer by its deadline, even if the module's actor fails while handling it. */
 public class FinalAnswerTest {
     private static final String SETTINGS = """
             {"balancers":1,"kinds":["one"],"services":[{"name":"ask","promise_s":1.5,"semantics":"safe","worth":3}],
@@ -32,9 +32,9 @@
              "report":{"via":"on_probe"}}
             """;
     private static final Duration TIME = Duration.ofMillis(300);
-    private static final Duration SLACK = Duration.ofMillis(500); // later is as good as never
+    private static final Duration SLACK = Duration.ofMillis(500); // after the deadline; a later answer fails the test
 
-    /** Notes how it was ended, and fails as it is told where that is asked for. */
+    /** Records how the request ended; on demand it throws when it gets the final answer. */
     private static final class Client implements Answer {
         final LinkedBlockingQueue<String> ends = new LinkedBlockingQueue<>();
         final boolean fails;
@@ -106,20 +106,20 @@
         module.tell(new ModuleActor.Listed(Api.ListKind.FULL, List.of(member), peers, null));
     }
 
-    /** The module's attempt fails in the actor, and nothing ever comes of it. */
+    /** The actor fails to start an attempt that the module has asked for, so that no outcome ever comes. */
     @Test
     public void aRequestWhoseAttemptFailsHereIsAnsweredByItsTime() throws Exception {
-        listed(Map.of()); // the module knows a server for which there is no peer
+        listed(Map.of()); // the module knows a server that has no peer
         Client client = new Client(false);
         module.arrive(ask("a", TIME), client);
         assertTrue(client.ends.poll(TIME.plus(SLACK).toMillis(), TimeUnit.MILLISECONDS) != null, "no answer");
         CountDownLatch idle = new CountDownLatch(1);
         module.tell(new ModuleActor.Drain(idle::countDown));
-        assertTrue(idle.await(1, TimeUnit.SECONDS), "it is still open");
+        assertTrue(idle.await(1, TimeUnit.SECONDS), "the request is still open");
         assertEquals(client.ends.size(), 0, "a second answer");
     }
 
-    /** As of a process without descriptors, whose peer fails on each message once its attempt is out. */
+    /** The peer fails on every message once its attempt is in flight, as in a process that is out of file descriptors. */
     @Test
     public void anAttemptWhoseOutcomeIsLostEndsAllTheSame() throws Exception {
         Broken peersClock = new Broken();
@@ -135,7 +135,7 @@
         assertTrue(client.ends.poll(TIME.plus(SLACK).toMillis(), TimeUnit.MILLISECONDS) != null, "no answer");
         CountDownLatch idle = new CountDownLatch(1);
         module.tell(new ModuleActor.Drain(idle::countDown));
-        assertTrue(idle.await(3, TimeUnit.SECONDS), "it is still out");
+        assertTrue(idle.await(3, TimeUnit.SECONDS), "the attempt is still in flight");
         assertTrue(peersClock.broken);
     }
 
@@ -161,7 +161,7 @@
         }
     }
 
-    /** The request is over all the same, and those behind it get theirs. */
+    /** Sending the final answer throws: the request ends all the same, and the next one gets its answer. */
     @Test
     public void anAnswerThatFailsLosesNoOther() throws Exception {
         Client broken = new Client(true);
@@ -172,6 +172,6 @@
         assertEquals(next.ends.poll(1, TimeUnit.SECONDS), "refused");
         CountDownLatch idle = new CountDownLatch(1);
         module.tell(new ModuleActor.Drain(idle::countDown));
-        assertTrue(idle.await(1, TimeUnit.SECONDS), "it is still open");
+        assertTrue(idle.await(1, TimeUnit.SECONDS), "the request is still open");
     }
 }
--- a/src/test/java/copperbeam/routing/FirstEventTest.java
+++ b/src/test/java/copperbeam/routing/FirstEventTest.java
@@ -16,7 +16,7 @@
 import java.util.concurrent.atomic.AtomicReference;
 import org.testng.annotations.Test;
 
-/** A first event that comes behind a crowd of requests. */
+/** The first event of a stream must not queue behind many new requests, or it would reach its client late. */
 public class FirstEventTest {
     private static final int CROWD = 1000;
 
@@ -33,7 +33,7 @@
                     listener.set((Connector.Listener) args[1]);
                 } else if (method.getName().equals("close")) {
                     stillWaiting[0] =
-                            arrived.getCount(); // the module's word on a first event of a request that it doesn't know
+                            arrived.getCount(); // the ModuleActor cancels the attempt, as it doesn't know its request
                 }
                 return method.getReturnType() == boolean.class ? true : null;
             });
@@ -78,7 +78,7 @@
             watcher.get().up(connection);
             turns.submit(() -> {}).get();
             turns.submit(
-                    () -> { // all of this comes before any actor's turn
+                    () -> { // all of this is queued before any actor has its turn
                         for (int i = 0; i < CROWD; i++) {
                             module.arrive(ask, quick);
                         }
@@ -88,7 +88,7 @@
             assertTrue(arrived.await(10, TimeUnit.SECONDS));
             turns.submit(() -> {}).get();
             turns.submit(() -> {}).get();
-            assertTrue(stillWaiting[0] > CROWD / 2, stillWaiting[0] + " of the crowd were still waiting");
+            assertTrue(stillWaiting[0] > CROWD / 2, stillWaiting[0] + " of the queued requests were still waiting");
         } finally {
             turns.shutdownNow();
         }
--- a/src/test/java/copperbeam/routing/HeldStateTest.java
+++ b/src/test/java/copperbeam/routing/HeldStateTest.java
@@ -37,28 +37,28 @@
 import org.testng.annotations.Test;
 
 /**
- * What is held is let go in time, in whatever order servers fail and clients leave: the actors and the module between
- * servers that this test plays, on its clock. Each case is one request in one world.
+ * Held read states are released in time, in whatever order servers fail and clients leave. Runs the actors and the decision
+ * module against simulated servers on a simulated clock; each case is one request in one world.
  */
 public class HeldStateTest {
-    /** What a server does. Of those that hear a release, any one lets go of all that is held for its request. */
+    /** How a server behaves. A release that any server receives releases all states held for its request. */
     private enum Nature {
         WELL(true),
         FULL(true),
-        /** After the last byte, without a word. */
+        /** Resets the connection after the last byte of the request, without an answer. */
         RESETS(true),
-        /** Its read ends well as the connection breaks. */
+        /** Completes the read just as the connection breaks. */
         RESETS_AS_READ(true),
         REFUSES(false),
         VANISHED(false),
         HANGS(false),
-        /** Its connections break before the last byte has left. */
+        /** Its connections break before the last byte of the request was sent. */
         BREAKS(false),
-        /** Cut off as soon as a connection is up: nothing arrives. */
+        /** Unreachable as soon as a connection is up: nothing arrives. */
         DIES(false),
-        /** Slow and well, but what is open at {@link #FORGETS_AT} carries nothing from then on; new connections come up. */
+        /** Slow but healthy. Connections opened before {@link #SILENT_FROM} carry nothing after it; new connections work. */
         FORGETS_CONNECTIONS(true),
-        /** Cut off once it has the request, of which it knows nothing: the read ends well, soon or late. */
+        /** Cut off from the network once it has the request, without noticing it: the read succeeds, soon or late. */
         READS_CUT_OFF(false),
         READS_LATE_CUT_OFF(false);
 
@@ -77,7 +77,7 @@
         STOP
     }
 
-    /** What a starved core and a crowd do to the process. */
+    /** Delays in the process, as under CPU starvation or a burst of requests. */
     private enum Slow {
         NOT(0, 0),
         BUSY(300, 0),
@@ -95,15 +95,15 @@
         }
     }
 
-    private static final Duration HEAR = Duration.ofMillis(1); // on the way, each way
+    private static final Duration HEAR = Duration.ofMillis(1); // network delay, one way
     private static final Duration SLOW_ANSWER = Duration.ofMillis(600);
     private static final Duration FORGETS_AT = Duration.ofSeconds(1);
     private static final Duration READ = Duration.ofMillis(50);
     private static final Duration LATE_READ = Duration.ofMillis(2600);
     private static final Duration SLACK = Duration.ofMillis(350);
     private static final Duration HORIZON = Duration.ofSeconds(8);
-    private static final Duration WAITS = Duration.ofSeconds(4); // the client
-    private static final long TEST_MS = 20_000; // against a world that goes on at one instant
+    private static final Duration WAITS = Duration.ofSeconds(4); // until the client's deadline
+    private static final long TEST_MS = 20_000; // guards against a simulation whose time doesn't advance
     private static final int MOST_CONNECTS = 500;
     private static final String ID = "id";
 
@@ -129,24 +129,24 @@
         }
     }
 
-    /** Time, servers and what is held at them. */
+    /** Simulated time, servers and the states that they hold. */
     private static final class World extends Clock implements Connector {
         final PriorityQueue<Due> dues = new PriorityQueue<>();
         final Nature[] natures;
         final int readers;
         final Duration within;
         final Set<Integer> cutOff = new HashSet<>();
-        boolean ended; // the process
+        boolean ended; // the process has ended
         Duration endedAt = HORIZON;
         final ScheduledExecutorService turns;
         final ScheduledExecutorService moduleTurns;
         Duration now = Duration.ZERO;
         long order;
-        Duration heldSince; // null: nothing is held
+        Duration heldSince; // null if no state is held
         Duration lastEnd = Duration.ZERO; // of an attempt that had a connection
-        int out; // attempts on open connections
+        int out; // attempts in flight that arrived at their server
         int connects;
-        boolean sent; // something, ever
+        boolean sent; // whether any attempt was ever sent
         String broken;
 
         World(Nature[] natures, int readers, double releaseS, Slow slow) {
@@ -157,7 +157,7 @@
             within = ModuleTime.span(releaseS).plus(SLACK);
         }
 
-        /** {@code busy}: each mailbox waits so long for its turn; {@code late}: all timers are, by so much. */
+        /** {@code turnDelay}: how long each mailbox waits for its turn; {@code timerDelay}: by how much all timers fire late. */
         ScheduledExecutorService turns(Duration busy, Duration late) {
             return (ScheduledExecutorService) Proxy.newProxyInstance(
                     getClass().getClassLoader(),
@@ -226,7 +226,7 @@
         public void connect(InetSocketAddress to, Duration timeout, Watcher watcher) {
             int server = to.getPort();
             if (++connects > MOST_CONNECTS) {
-                broken = "a storm of connections";
+                broken = "too many connection attempts";
             }
             if (natures[server] == Nature.REFUSES) {
                 later(HEAR, watcher::failed);
@@ -239,7 +239,7 @@
             final int server;
             final Nature nature;
             boolean open = true;
-            boolean attempt; // one is out here
+            boolean attempt; // an attempt is in flight on this connection
             final Duration opened = now;
             Runnable goes;
 
@@ -267,7 +267,7 @@
                 }
             }
 
-            /** Nothing arrives, and nobody is told. */
+            /** Whether nothing arrives, without any error. */
             boolean silent() {
                 return cutOff.contains(server)
                         || nature == Nature.HANGS
@@ -289,7 +289,7 @@
 
             void arrived(Listener listener) {
                 if (!open || silent()) {
-                    return; // what no running server has read is not out, and stops no clock
+                    return; // an attempt that no running server has read does not count as in flight and extends no lease
                 }
                 attempt = true;
                 out++;
@@ -335,7 +335,7 @@
                 heldSince = heldSince == null ? now : heldSince;
             }
 
-            /** Unless the attempt is given up before. */
+            /** Runs the task after a delay, unless the attempt has ended before. */
             void after(Duration span, Runnable task) {
                 later(span, () -> {
                     if (attempt) {
@@ -400,7 +400,7 @@
         }
     }
 
-    /** The actors of one process, which knows all servers. */
+    /** The actors of one process whose list has all servers. */
     private record Conductor(ModuleActor module, ReleaseActor releases, Map<String, PeerActor> peers) {
         static Conductor start(World world, double releaseS, Api.Effect effect, boolean probes) {
             Metrics metrics = new Metrics(List.of("c"));
@@ -432,7 +432,7 @@
         }
     }
 
-    /** One for each server, by its id. */
+    /** One peer for each server, by the server's id. */
     private static Map<String, PeerActor> peersOf(World world, PeerActor.Setup setup) {
         Map<String, PeerActor> peers = new HashMap<>();
         for (int i = 0; i < world.natures.length; i++) {
@@ -487,12 +487,12 @@
             });
         }
         world.play();
-        // the request's time, what is left of release_s, and a last round
+        // the client's wait, the rest of release_s, and a last round of releases
         Duration mostStop = !world.sent
                 ? endAt.plusSeconds(1)
                 : WAITS.plus(ModuleTime.span(2 * releaseS)).plus(SLACK);
         if (end == End.STOP && world.broken == null && world.endedAt.compareTo(mostStop) > 0) {
-            return "the stop ends at " + world.endedAt;
+            return "the shutdown ends late, at " + world.endedAt;
         }
         return world.broken;
     }
@@ -520,7 +520,7 @@
 
     @BeforeClass
     public void quiet() {
-        ROUTING.setLevel(Level.WARNING); // thousands of worlds, each with servers that rest
+        ROUTING.setLevel(Level.WARNING); // thousands of worlds, each with log lines about ejected servers
     }
 
     @AfterClass
@@ -544,8 +544,8 @@
     }
 
     /**
-     * Pairs of readers with each three writers, beside others that have vanished, and some times at which the client leaves
-     * or the process is to end.
+     * All combinations of two readers and three writers, next to unreachable servers, and several times at which the client
+     * leaves or the process shuts down.
      */
     @Test(dataProvider = "settings")
     public void whatIsHeldIsLetGoInTime(double releaseS, Api.Effect effect, int vanished, Slow slow) throws Exception {
@@ -580,13 +580,13 @@
         assertEquals(
                 faults.size(),
                 0,
-                "of " + cases + ", with " + with + ", as "
+                "of " + cases + " cases; failed cases by behaviour: " + with + "; the first: "
                         + String.join("\n", faults.subList(0, Math.min(30, faults.size()))) + "\n");
     }
 
     /**
-     * The write goes out on a kept connection that has fallen silent. A probe on a new one tells that its server runs, where answers
-     * usually take long; it doesn't tell that the write has arrived.
+     * The write is sent on a kept-alive connection that has gone silent. An answered probe on a new connection shows that the
+     * server, whose answers usually take long, is running; it doesn't show that the write has arrived.
      */
     @Test(timeOut = TEST_MS)
     public void anAnswerOnANewConnectionShowsNoArrivalOnAKeptOne() throws Exception {
@@ -605,7 +605,10 @@
         return new Object[][] {{1.0}, {0.5}, {0.35}};
     }
 
-    /** The worst of 3000 fleets of which four fifths can't be reached; half of the time went by before the release. */
+    /**
+     * The slowest release in 3000 fleets of which four fifths can't be reached. It must take less than half of {@code release_s},
+     * as the other half may have passed before the release.
+     */
     @Test(dataProvider = "times")
     public void someServerHearsAReleaseInTimeThoughFourInFiveDoNot(double releaseS) throws Exception {
         Random random = new Random(5);
@@ -632,14 +635,17 @@
         assertTrue(worst.compareTo(ModuleTime.span(releaseS / 2)) < 0, "heard after " + worst);
     }
 
-    /** {@code until}: null, or so long a cut read may yet end. */
+    /** {@code readMayEndUntil}: null, or the time until which an interrupted read may still succeed. */
     @DataProvider
     public Object[][] cuts() {
         Instant soon = Instant.EPOCH.plusSeconds(1);
         return new Object[][] {{false, null}, {true, null}, {false, soon}, {true, soon}};
     }
 
-    /** Cut off from all for longer than a release is usually tried: let go once somebody can be reached, and no stop waits for it. */
+    /**
+     * All servers are unreachable for longer than a release is usually tried. The state is released once a server can be reached
+     * again, and a shutdown doesn't wait for it.
+     */
     @Test(dataProvider = "cuts")
     public void aReleaseOutlastsACutFromAll(boolean stop, Instant until) throws Exception {
         World world = new World(new Nature[] {Nature.WELL, Nature.WELL}, 0, 1, Slow.NOT);
@@ -661,7 +667,7 @@
         assertEquals(world.endedAt, stop ? Duration.ofSeconds(4) : HORIZON);
     }
 
-    /** As where a bad list has been told: who must let go is asked once it is listed. */
+    /** The server list is empty, as after a faulty update: a server is asked for the release once it is listed. */
     @Test
     public void aReleaseOutlastsAnEmptyList() throws Exception {
         World world = new World(new Nature[] {Nature.WELL}, 0, 1, Slow.NOT);
--- a/src/test/java/copperbeam/routing/IdleShareTest.java
+++ b/src/test/java/copperbeam/routing/IdleShareTest.java
@@ -19,9 +19,9 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Idle connections at all servers together stay within their share of the descriptors, however many servers there are. */
+/** Idle connections to all servers together stay within their share of the file descriptors, however many servers there are. */
 public class IdleShareTest {
-    /** Servers, what may stand idle, and what does once each server has answered one call. */
+    /** Number of servers, limit on idle connections, and connections kept idle once each server has answered one call. */
     @DataProvider
     public Object[][] fleets() {
         return new Object[][] {
@@ -30,7 +30,7 @@
             {22, 22, 22},
             {100, 22, 22},
             {2000, 278, 278},
-            {100, -20, 0}, // half of 256 descriptors, beside another process
+            {100, -20, 0}, // the limit for half of 256 descriptors, while another process shares them
         };
     }
 
@@ -95,7 +95,7 @@
         }
     }
 
-    /** Each call on it is answered at once. */
+    /** A connection on which each call is answered immediately. */
     private static Connector.Connection connection(int[] open) {
         return (Connector.Connection) Proxy.newProxyInstance(
                 IdleShareTest.class.getClassLoader(),
@@ -112,7 +112,7 @@
                 });
     }
 
-    /** Each turn of an actor may ask for one of another. */
+    /** Runs enough turns for all actors, since each turn of one may schedule a turn of another. */
     private static void settle(ScheduledThreadPoolExecutor turns) throws Exception {
         for (int i = 0; i < 20; i++) {
             turns.submit(() -> {}).get();
--- a/src/test/java/copperbeam/routing/KeptConnectionTest.java
+++ b/src/test/java/copperbeam/routing/KeptConnectionTest.java
@@ -9,8 +9,9 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** When a connection that has carried a call carries the next. */
+/** When a kept connection is reused for another call. */
 public class KeptConnectionTest {
+    /** Idle time in milliseconds before the second call, and the expected actions on the server. */
     @DataProvider
     public Object[][] rests() {
         return new Object[][] {
@@ -22,7 +23,10 @@
         };
     }
 
-    /** A second answer comes some milliseconds behind the first: on a call made by then it would be taken for that call's. */
+    /**
+     * A faulty server may send a second answer some milliseconds after the first; on a connection that was reused by then, it
+     * would be taken for the answer to the next call.
+     */
     @Test(dataProvider = "rests")
     public void aKeptConnectionSettlesBeforeItsNextCall(int restMs, String done) throws Exception {
         ScheduledThreadPoolExecutor turns = new ScheduledThreadPoolExecutor(1);
@@ -46,6 +50,6 @@
 
     private static void turn(ScheduledThreadPoolExecutor turns, Runnable step) throws Exception {
         turns.submit(step).get();
-        turns.submit(() -> {}).get(); // the actor's turn has come before this one
+        turns.submit(() -> {}).get(); // returns after the actor's turn
     }
 }
--- a/src/test/java/copperbeam/routing/LongDayTest.java
+++ b/src/test/java/copperbeam/routing/LongDayTest.java
@@ -22,7 +22,7 @@
 import java.util.concurrent.ScheduledThreadPoolExecutor;
 import org.testng.annotations.Test;
 
-/** Servers that come under ever new ids leave nothing behind. */
+/** No memory leak: peers of servers that have left the list can be garbage-collected, even if each server has a new id. */
 public class LongDayTest {
     private static Change change(ListKind kind, int id, ServerState state) {
         return new Change(
@@ -80,8 +80,7 @@
                     list.tell(new ListActor.Told(change(ListKind.DELTA, i, ServerState.GONE), null));
                 }
             }
-            // not before all are told of: collections one after another take a busy core from the actors that they wait
-            // for
+            // collect only after all changes are processed: repeated collections would starve the actors waited for here
             long until = System.nanoTime() + Duration.ofSeconds(30).toNanos();
             while (turns.submit(made::size).get() < all && System.nanoTime() < until) {
                 Thread.sleep(5);
@@ -95,7 +94,7 @@
                                 () -> made.stream().filter(p -> p.get() != null).count())
                         .get();
             }
-            // those of the last whole list and after it that have not left
+            // the servers of the last full list and of later changes that have not left
             assertEquals(left, 50);
         } finally {
             turns.shutdownNow();
--- a/src/test/java/copperbeam/routing/RequestRulesTest.java
+++ b/src/test/java/copperbeam/routing/RequestRulesTest.java
@@ -10,7 +10,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Each rule against its own count of what has run. */
+/** {@link RequestRules} derives from attempts and outcomes what may have run, and reports the rule that an action would break. */
 public class RequestRulesTest {
     private static final Instant START = Instant.EPOCH;
     private static final Instant DEADLINE = START.plusSeconds(5);
@@ -19,7 +19,10 @@
         return new RequestRules(new Api.RequestClass("c", 1, 0, 1, effect, Api.Group.ZONE, 2), 4, DEADLINE, resumed);
     }
 
-    /** One write that ends so; then another write and a refusal, one second and three after the first. */
+    /**
+     * Effect of the class, outcome of a first write and whether it had a connection; then the expected broken rules of another
+     * write one second and three seconds after the first, and of a refusal. The class's repeat window is two seconds.
+     */
     @DataProvider
     public Object[][] ends() {
         Rule no = null;
--- a/src/test/java/copperbeam/routing/UnwantedTest.java
+++ b/src/test/java/copperbeam/routing/UnwantedTest.java
@@ -15,8 +15,12 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** An attempt whose client goes, whose time for a repeat ends or whose server drains, at each point before its last byte leaves. */
+/**
+ * An attempt is not sent if its client goes, the time to send or to wait for it ends, or its server drains, at each point before
+ * its last byte leaves.
+ */
 public class UnwantedTest {
+    /** When the attempt stops being wanted. */
     private enum When {
         BEFORE_IT_BEGINS,
         BEFORE_IT_HAS_A_CONNECTION,
@@ -24,6 +28,7 @@
         BEFORE_ITS_CONNECTION_BREAKS
     }
 
+    /** Why the attempt stops being wanted. */
     private enum Why {
         GONE,
         LATE,
@@ -33,7 +38,7 @@
         WANTED
     }
 
-    /** A server that a test plays; all on the thread of the actors. */
+    /** A server driven by the test, which records the calls to its connector and connection; used on the actors' thread alone. */
     static final class Server implements Connector, Connector.Connection {
         String done = "";
         Watcher watcher;
@@ -85,6 +90,7 @@
         }
     }
 
+    /** A clock that stands still until the test changes its offset from the epoch. */
     static final class Ahead extends Clock {
         volatile Duration by = Duration.ZERO;
 
@@ -154,7 +160,7 @@
             {When.BEFORE_IT_BEGINS, Why.LEFT, ""},
             {When.BEFORE_IT_HAS_A_CONNECTION, Why.DRAINS, "connect close "},
             {When.BEFORE_IT_HAS_A_CONNECTION, Why.LEFT, "connect close "},
-            {When.BEFORE_ITS_LAST_BYTE_GOES, Why.DRAINS, "connect call let "}, // its first is long out
+            {When.BEFORE_ITS_LAST_BYTE_GOES, Why.DRAINS, "connect call let "}, // its first bytes have been sent
             {When.BEFORE_ITS_CONNECTION_BREAKS, Why.DRAINS, "connect call abort "},
             {When.BEFORE_ITS_CONNECTION_BREAKS, Why.LEFT, "connect call abort "},
         };
@@ -201,12 +207,12 @@
                 }
                 if (i != 2 || last == 2) {
                     turns.submit(steps.get(i)).get();
-                    turns.submit(() -> {}).get(); // the actor's turn has come before this one
+                    turns.submit(() -> {}).get(); // returns after the actor's turn
                 }
             }
             long until = System.nanoTime() + Duration.ofSeconds(10).toNanos();
             while (!turns.submit(() -> server.done).get().equals(done) && System.nanoTime() < until) {
-                Thread.sleep(1); // a last byte is held for a while
+                Thread.sleep(1); // the last byte is held back for some milliseconds
             }
             assertEquals(turns.submit(() -> server.done).get(), done);
         } finally {
