--- a/src/main/java/copperbeam/handover/SharedState.java
+++ b/src/main/java/copperbeam/handover/SharedState.java
@@ -16,15 +16,16 @@
 import java.util.function.Predicate;
 
 /**
- * What the processes of one conductor know in common; immutable. Each process holds one, merges what it reads into it
- * and writes it: whoever writes last over the other's file loses nothing, as the other still holds its own and merges.
+ * State shared by the processes of one conductor; immutable. Each process holds its own copy, merges what it reads from
+ * the shared file into it, and writes the result. If one process overwrites the other's file nothing is lost, as the
+ * other still has its copy and merges again.
  *
- * <p>At most {@value #MOST_BANS} bans are remembered: put-backs, oldest first, are forgotten before bans in force,
- * which stay even where a merge finds more of them than that. At most {@value #MOST_LIVES} lives are: the latest
- * started. A put-back that is forgotten no longer overrides an older ban that another process still holds.
+ * <p>At most {@value #MAX_BANS} ban entries are remembered. Lifted bans are forgotten first, oldest first; bans in force
+ * are kept even if a merge finds more of them than that. At most {@value #MAX_PROCESSES} processes are remembered, those
+ * started last. A lifted ban that is forgotten no longer overrides an older ban that another process still holds.
  *
- * @param bans by server; those put back are kept, so that an older ban does not come back in a merge
- * @param lives by incarnation, a name that no other process of this conductor ever has
+ * @param bans by server; lifted bans are kept, so that an older ban does not reappear in a merge
+ * @param processes by incarnation, a name unique among all processes of this conductor
  */
 public record SharedState(SortedMap<String, Ban> bans, Drain drain, SortedMap<String, Life> lives) {
     static final int MOST_BANS = 4096;
@@ -38,37 +39,37 @@
                     (Map.Entry<String, Life> life) -> life.getValue().started())
             .thenComparing(Map.Entry::getKey);
 
-    /** Nothing by hand, and no process. */
+    /** No bans, no drain, no processes. */
     public static final SharedState EMPTY =
             new SharedState(new TreeMap<>(), new Drain(0, false, Instant.EPOCH), new TreeMap<>());
 
     /**
-     * A server left out by hand, or put back.
+     * The latest ban of a server, in force or lifted.
      *
-     * @param turn from 1, one more with each change
-     * @param at by the machine's wall clock; decides only between equal turns
+     * @param revision starts at 1 and grows by one with each change
+     * @param changedAt by the machine's wall clock; decides only between equal revisions
      */
     public record Ban(long turn, boolean out, Instant at) {
         public Ban {
-            require(turn >= 1, "a ban's turn below 1");
+            require(turn >= 1, "ban revision below 1");
             Objects.requireNonNull(at);
         }
     }
 
     /**
-     * The conductor drained by hand, or back at work.
+     * Whether operators have drained the conductor.
      *
-     * @param turn from 0, which is before any word by hand
-     * @param at as in {@link Ban}
+     * @param revision starts at 0, before any command, and grows by one with each change
+     * @param changedAt as in {@link Ban}
      */
     public record Drain(long turn, boolean drained, Instant at) {
         public Drain {
-            require(turn >= 0, "a drain's turn below 0");
+            require(turn >= 0, "drain revision below 0");
             Objects.requireNonNull(at);
         }
     }
 
-    /** In order; a process never goes back. */
+    /** The phases of a process, in order; a process never returns to an earlier one. */
     public enum Phase {
         STARTING,
         SERVING,
@@ -76,14 +77,14 @@
     }
 
     /**
-     * One process.
+     * One process of the conductor.
      *
-     * @param started by the machine's wall clock; the same all the life long
-     * @param slot which lock byte it holds as long as it lives
+     * @param startedAt by the machine's wall clock; never changes
+     * @param lockSlot index of the byte of the lock file that the process keeps locked as long as it runs
      */
     public record Life(Instant started, Phase phase, int slot) {
         public Life {
-            require(slot >= 0, "a slot below 0");
+            require(slot >= 0, "lock slot below 0");
             Objects.requireNonNull(started);
             Objects.requireNonNull(phase);
         }
@@ -97,7 +98,11 @@
         }
     }
 
-    /** Copies the maps and forgets what is beyond the bounds; an IllegalArgumentException on a name not in Unicode. */
+    /**
+     * Copies the maps and drops what exceeds the bounds.
+     *
+     * @throws IllegalArgumentException if a name is not valid Unicode
+     */
     public SharedState {
         Objects.requireNonNull(drain);
         bans = bounded(bans, MOST_BANS, ban -> !ban.out(), Ban::at);
@@ -105,9 +110,9 @@
     }
 
     /**
-     * Both as one: of each ban and of the drain the higher turn, then the later time, then out or drained; of each life
-     * the later phase. Commutative and idempotent; associative too as long as no put-back is forgotten and each life
-     * is told with one start.
+     * Merges two states. Of each ban and of the drain, the higher revision wins, then the later time, then banned or
+     * drained; of each process, the later phase. Commutative and idempotent; also associative as long as no lifted ban is
+     * forgotten and each process is always reported with the same start time.
      */
     public SharedState merge(SharedState other) {
         return new SharedState(
@@ -117,11 +122,11 @@
     }
 
     /**
-     * A server left out or put back by hand; the same state where it is so already, also for one never heard of put
-     * back.
+     * Bans a server or lifts its ban. Returns this state if nothing changes, also when lifting the ban of an unknown
+     * server.
      *
-     * @throws IllegalStateException where {@value #MOST_BANS} servers are out already
-     * @throws IllegalArgumentException on a name that is not Unicode
+     * @throws IllegalStateException if {@value #MAX_BANS} servers are banned already
+     * @throws IllegalArgumentException if the name is not valid Unicode
      */
     public SharedState ban(String server, boolean out, Instant at) {
         if (out(server) == out) {
@@ -134,23 +139,24 @@
         return merge(new SharedState(single(server, new Ban(turn, out, at)), drain, lives));
     }
 
-    /** The conductor drained by hand or back at work; the same state where it is so already. */
+    /** Starts or ends a drain of the conductor. Returns this state if nothing changes. */
     public SharedState drain(boolean drained, Instant at) {
         return drain.drained() == drained
                 ? this
                 : new SharedState(bans, new Drain(drain.turn() + 1, drained, at), lives);
     }
 
-    /** With what a process says of itself; an earlier phase than is known changes nothing. */
+    /** Adds or updates a process; a phase earlier than the known one has no effect. */
     public SharedState life(String incarnation, Life life) {
         return merge(new SharedState(bans, drain, single(incarnation, life)));
     }
 
     /**
-     * Without the lives that are over: those whose slot is not in use, and those whose slot a later one has, as a
-     * process that crashed while it served would else pass for a successor as soon as the next holds its slot.
+     * Removes processes that no longer run: those whose lock slot is not held, and those whose slot a process started
+     * later has taken. Without the second rule, a process that crashed while serving would count as a successor as soon as
+     * a new process holds its slot.
      *
-     * @param slots whose lock bytes are held, the caller's own included
+     * @param heldSlots the slots whose lock bytes are held, including the caller's own
      */
     public SharedState living(Set<Integer> slots) {
         SortedMap<String, Life> alive = new TreeMap<>(lives);
@@ -163,12 +169,12 @@
         return new SharedState(bans, drain, alive);
     }
 
-    /** Whether a server is left out by hand. */
+    /** Whether a server is banned. */
     public boolean out(String server) {
         return bans.containsKey(server) && bans.get(server).out();
     }
 
-    /** The servers left out by hand. */
+    /** The servers whose ban is in force. */
     public Set<String> banned() {
         Set<String> banned = new TreeSet<>(bans.keySet());
         banned.removeIf(server -> !out(server));
@@ -176,8 +182,8 @@
     }
 
     /**
-     * The latest started of the processes that serve and started after this one (of two that started at once the one
-     * with the later name counts as later); none where this one is not known itself.
+     * The process started last among those that are serving and started after this one. Of two with the same start time,
+     * the one whose name sorts last counts as later. Empty if this process itself is unknown.
      */
     public Optional<Life> successor(String incarnation) {
         Life own = lives.get(incarnation);
@@ -204,15 +210,15 @@
         return all;
     }
 
-    /** A copy, in the order of names whatever the given one's, without the oldest that may be forgotten. */
+    /** A copy in the natural order of names, without the oldest evictable entries beyond {@code max}. */
     private static <T> SortedMap<String, T> bounded(
             Map<String, T> all, int most, Predicate<T> forgettable, Function<T, Instant> time) {
         SortedMap<String, T> kept = new TreeMap<>();
         kept.putAll(all);
-        // half a surrogate pair would come back from the file as another name
+        // an unpaired surrogate would be read back from the file as a different name
         require(
                 StandardCharsets.UTF_8.newEncoder().canEncode(String.join("\n", kept.keySet())),
-                "a name not in Unicode");
+                "name is not valid Unicode");
         if (all.size() > most) {
             all.entrySet().stream()
                     .filter(e -> forgettable.test(e.getValue()))
--- a/src/main/java/copperbeam/handover/StateCodec.java
+++ b/src/main/java/copperbeam/handover/StateCodec.java
@@ -25,20 +25,21 @@
 import java.util.zip.CRC32C;
 
 /**
- * The form of the file: {@code copperbeam-state 1 CHECKSUM LENGTH} on a line (CRC-32C, 8 hex digits, and bytes, both of
- * all that follows), then one JSON object with its fields in one order. The header stays readable to every later form,
- * so that a process names a file of another form as such.
+ * Encodes and decodes the shared state file. Its first line is {@code copperbeam-state 1 CHECKSUM LENGTH}, with the
+ * CRC-32C (8 hex digits) and the length in bytes of all that follows; then comes one JSON object whose fields have a
+ * fixed order. The header line must stay readable in every later format version, so that a process can report a file of
+ * another version as such.
  */
 public final class StateCodec {
-    /** Bytes of a whole file: {@value SharedState#MOST_BANS} bans of names of up to 180 bytes. */
+    /** Maximum size of the file in bytes; enough for {@value SharedState#MAX_BANS} bans with names of up to 180 bytes. */
     static final int MOST_BYTES = 1 << 20;
 
     private static final String MAGIC = "copperbeam-state ";
     private static final String FORM = "1";
     private static final Pattern HEADER = Pattern.compile(MAGIC + FORM + " ([0-9a-f]{8}) (0|[1-9][0-9]{0,6})");
-    private static final int MOST_HEADER = 64; // bytes, the line's end included
+    private static final int MOST_HEADER = 64; // line feed included
 
-    /** A file that is not believed; the message says why. */
+    /** Thrown if a file is not a valid state of this conductor; the message gives the reason. */
     public static final class Refused extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -54,9 +55,9 @@
     private StateCodec() {}
 
     /**
-     * The whole file. Who calls adopts a changed state only once it is written.
+     * Returns the contents of the whole file. The caller should adopt a changed state only once it is written.
      *
-     * @throws IllegalStateException where it would be larger than 1 MiB, which nobody would read
+     * @throws IllegalStateException if the file would be larger than 1 MiB, which {@link #decode} rejects
      */
     public static byte[] write(String conductor, SharedState state, Instant now) {
         byte[] content = json(conductor, state, now).getBytes(StandardCharsets.UTF_8);
@@ -72,9 +73,9 @@
     }
 
     /**
-     * The state in a file of this conductor, whole or not at all.
+     * Returns the state in a file of this conductor; never a partial one.
      *
-     * @throws Refused on any other file
+     * @throws InvalidStateException if the file is damaged, of another format version or of another conductor
      */
     public static SharedState read(String conductor, byte[] bytes) throws Refused {
         byte[] content = content(bytes);
@@ -86,7 +87,7 @@
             in.setStrictness(Strictness.STRICT);
             in.beginObject();
             refuse(!text(in, "conductor").equals(conductor), "another conductor's");
-            time(in, "written"); // for people: the wall clock may have stepped either way since
+            time(in, "written"); // informative only: the wall clock may have stepped since, in either direction
             SortedMap<String, Ban> bans =
                     map(in, "bans", ban -> new Ban(number(ban, "turn"), flag(ban, "out"), time(ban, "at")));
             field(in, "duty", JsonToken.BEGIN_OBJECT).beginObject();
@@ -109,11 +110,12 @@
                 | IllegalArgumentException
                 | ArithmeticException
                 | DateTimeException e) {
-            throw new Refused("malformed: " + e.getClass().getSimpleName()); // its message may quote the whole file
+            // without the exception's message, which may quote the whole file
+            throw new Refused("malformed: " + e.getClass().getSimpleName());
         }
     }
 
-    /** What follows the header, as it was written. */
+    /** Checks the header and returns what follows it. */
     private static byte[] content(byte[] bytes) throws Refused {
         refuse(bytes.length > MOST_BYTES, "larger than 1 MiB");
         String head = new String(bytes, 0, Math.min(bytes.length, MOST_HEADER), StandardCharsets.ISO_8859_1);
@@ -182,12 +184,12 @@
             }
             out.endObject().endObject();
         } catch (IOException e) {
-            throw new UncheckedIOException(e); // a StringWriter throws none
+            throw new UncheckedIOException(e); // can't happen with a StringWriter
         }
         return text.toString();
     }
 
-    /** At the value of the field that must come next; Gson by itself would take "1" for 1 and the other way round. */
+    /** Moves to the value of the field that must come next. Checks the type, as Gson would accept "1" for 1 and vice versa. */
     private static JsonReader field(JsonReader in, String name, JsonToken type) throws IOException, Refused {
         refuse(
                 in.peek() != JsonToken.NAME || !in.nextName().equals(name) || in.peek() != type,
@@ -200,7 +202,8 @@
     }
 
     private static long number(JsonReader in, String name) throws IOException, Refused {
-        return Long.parseLong(field(in, name, JsonToken.NUMBER).nextString()); // nextLong takes 2^63 for 2^63 - 1
+        // not nextLong, which reads 2^63 as 2^63 - 1
+        return Long.parseLong(field(in, name, JsonToken.NUMBER).nextString());
     }
 
     private static boolean flag(JsonReader in, String name) throws IOException, Refused {
--- a/src/main/java/copperbeam/lifecycle/Lifecycle.java
+++ b/src/main/java/copperbeam/lifecycle/Lifecycle.java
@@ -3,64 +3,75 @@
 import java.time.Duration;
 
 /**
- * What a conductor does with its clients: at work, drained by hand, or on its way to the end. A drain takes the first
- * steps of a stop and stays there; a stop goes on from where a drain is, and nothing takes it back.
+ * State machine of a conductor towards its clients: working, drained by an operator, or stopping. A drain takes the first
+ * steps of a stop and stays there; a stop continues from the step that a drain has reached, and can't be undone.
  *
- * <p>In a rolling restart the next conductor is stopped some 3 s after this one, and this one is back about as long
- * after that: what is cut here goes on at the next one if it comes there before its stop, and what the next one cuts
- * goes on here if it comes late enough. So clients are led away from the start, what is open is answered and streams are
- * cut before the next stop; but as late as may be where others have cut streams lately, for then those others are not
- * back yet. Where a new process serves at the same address, clients have somewhere to go from the first moment.
+ * <p>In a rolling restart the next conductor is stopped about 3 s after this one, and this one is back about 3 s later
+ * still. A stream cut here is resumed at the next conductor if it gets there before that one's stop; a stream cut there
+ * is resumed here if it comes late enough. So clients are sent away from the start, and open requests are answered and
+ * streams cut before the next conductor's stop. But if other conductors have cut streams lately they aren't back yet, and
+ * streams are cut as late as possible. If a new process serves at the same address, clients can go there at once.
  */
 public final class Lifecycle {
-    /** In order; only the first three are ever taken back. */
+    /** The steps, in order; only the first three can be undone. */
     public enum Step {
-        /** At work. */
+        /** Normal operation. */
         WORK,
-        /** Not healthy any more; what comes is taken, on new connections too, and each closes after its answer. */
+        /** Reports unhealthy. Requests are still taken, also on new connections; each connection closes after its answer. */
         SERVE,
-        /** The same, and connections without a request are closed. */
+        /** As {@link #SERVE}, and idle connections are closed. */
         LEAD_AWAY,
-        /** Nothing is open and nobody should come: no new connection is taken, but what the system has taken is served. */
+        /** Nothing is open: no longer listens, but connections that the operating system has accepted are served. */
         CLOSE,
-        /** What is open and what still comes gets its final answer; no new connection is taken. */
+        /** Open requests and those that still arrive get a final answer; no new connection is taken. */
         ANSWER,
-        /** Streams end where they are, if their clients can ask for the rest elsewhere. */
+        /** Streams are cut where they are, if their clients can resume them elsewhere. */
         CUT,
         /** The process may end. */
         END
     }
 
-    private static final Duration NOTICE = Duration.ofMillis(800); // for fronts to learn that we are not healthy
-    private static final Duration EARLY = Duration.ofMillis(850); // before the kill, at most: streams are cut
+    /** Time for load balancers to notice that this conductor is unhealthy. */
+    private static final Duration NOTICE = Duration.ofMillis(800);
+    /** Streams are cut at most this long before the kill. */
+    private static final Duration EARLY = Duration.ofMillis(850);
+    /** The same if other conductors are away; leaves time to finish streams and to release read states. */
     private static final Duration LATE =
-            Duration.ofMillis(350); // the same where others are away; for ends and releases
-    private static final Duration ANSWERS = Duration.ofMillis(200); // before that
+            Duration.ofMillis(350);
+    /** Final answers are given this long before streams are cut. */
+    private static final Duration ANSWERS = Duration.ofMillis(200);
+    /**
+     * How long in a stop new requests are accepted if streams can't be cut. One that comes 0.7 s after SIGTERM or later
+     * would have to end before the kill.
+     */
     private static final Duration TAKES =
-            Duration.ofMillis(600); // what comes 0.7 s after SIGTERM must end before the kill
-    private static final Duration EXIT = Duration.ofMillis(150); // before the kill, for the process to end by itself
-    private static final Duration LEAST = Duration.ofMillis(700); // which the platform gives beside its clients' waits
+            Duration.ofMillis(600);
+    /** The process exits this long before the kill, so that it ends by itself. */
+    private static final Duration EXIT = Duration.ofMillis(150);
+    /** Shortest stop timeout: the platform gives at least this, in addition to the time its clients wait. */
+    private static final Duration LEAST = Duration.ofMillis(700);
 
     private final Duration allowed;
     private final boolean streamsResume;
     private Step step = Step.WORK;
-    private Duration drained; // when a drain was asked for, and not taken back
-    private Duration stopped;
-    private boolean succeeded; // a new process serves at this one's address, and takes what comes
+    private Duration drained; // when the drain in force was requested; null: none
+    private Duration stopped; // when the stop was requested; null: not stopping
+    private boolean succeeded; // a newer process serves at the same address and takes new connections
 
     /**
-     * {@code allowed}: after so long a stop the process may be killed; {@code streamsResume}: else a stream that is cut is
-     * lost, and only the kill ends it.
+     * @param stopTimeout time from the request to stop until the process may be killed
+     * @param streamsResumable whether clients can resume a cut stream elsewhere; if not, streams are never cut, and only
+     *     the kill ends them
      */
     public Lifecycle(Duration allowed, boolean streamsResume) {
         if (allowed.compareTo(LEAST) < 0) {
-            throw new IllegalArgumentException("a stop of less than " + LEAST);
+            throw new IllegalArgumentException("stop timeout below " + LEAST);
         }
         this.allowed = allowed;
         this.streamsResume = streamsResume;
     }
 
-    /** By hand; asked twice it goes on. False where a stop is under way. */
+    /** Starts a drain on behalf of an operator; no effect if one is in force. Returns false if a stop is under way. */
     public boolean drain(Duration now) {
         if (stopped == null && drained == null) {
             drained = now;
@@ -68,7 +79,7 @@
         return stopped == null;
     }
 
-    /** Back to work, also from work. False where a stop is under way: the process ends in any case. */
+    /** Ends a drain, if any. Returns false if a stop is under way, as the process then ends in any case. */
     public boolean rejoin() {
         if (stopped == null) {
             drained = null;
@@ -82,8 +93,9 @@
     }
 
     /**
-     * A new process serves at the same address: clients are led there, and there is all the time until the stop to end what
-     * is open. Or it serves no more, and this one is back at work, or takes what comes for as long as its stop lasts.
+     * Tells whether a newer process is serving at the same address. If it is, clients are sent there, and open requests
+     * may take until the stop to finish. If it no longer is, this process resumes normal operation or, while stopping,
+     * takes requests again until its stop ends.
      */
     public void succeeded(boolean by) {
         if (stopped == null && succeeded && !by) {
@@ -96,31 +108,35 @@
         return stopped != null;
     }
 
-    /** Whether whoever asks for our health should be told yes; a successor answers at the same address. */
+    /** Whether health checks should pass; a successor answers at the same address. */
     public boolean healthy() {
-        return drained == null && (stopped == null || succeeded); // whoever asks meets the successor as well
+        // health checks may reach the successor instead of this process
+        return drained == null && (stopped == null || succeeded);
     }
 
-    /** Whether new connections are taken here. */
+    /** Whether new connections are accepted by this process. */
     public boolean listens() {
         return step.compareTo(Step.CLOSE) < 0 && !succeeded;
     }
 
-    /** Whether what comes may be begun: in a stop not for long where streams can't be cut, as one may outlast it. */
+    /**
+     * Whether new requests may be started. If streams can't be cut, only early in a stop, as a later stream might outlast
+     * it.
+     */
     public boolean takes(Duration now) {
         return stopped == null || streamsResume || now.minus(stopped).compareTo(TAKES) < 0;
     }
 
-    /** Whether a process that owes no answer has to end now, whatever servers have not let go of yet. */
+    /** Whether a process that owes no answer must exit now, even if servers haven't confirmed all releases yet. */
     public boolean mustExit(Duration now) {
         return stopped != null && step == Step.END && now.minus(stopped).compareTo(allowed.minus(EXIT)) >= 0;
     }
 
     /**
-     * The step that holds now. The last one comes only where the address was given up before it was asked for: what clients
-     * have sent to a listener that ends with its process is lost.
+     * Advances to the step that is due now and returns it. {@link Step#END} is reached only if the process had already
+     * stopped listening before this call: requests sent to a listener that ends with its process would be lost.
      *
-     * @param open clients are connected, or may be on their way in from an address that is given up
+     * @param connectionsOpen clients are connected, or connections may still be pending at an address that is given up
      * @param othersAway other conductors have cut streams lately
      */
     public Step at(Duration now, boolean open, boolean othersAway) {
@@ -137,14 +153,15 @@
         return step;
     }
 
-    /** Whether fronts have had time to learn that nobody should come here any more. */
+    /** Whether load balancers have had time to notice that this conductor is unhealthy. */
     private boolean noticed(Duration now) {
         Duration since = drained != null ? drained : stopped;
         return succeeded || now.minus(since).compareTo(NOTICE) >= 0;
     }
 
     private Step stop(Duration since, boolean noticed, boolean open, boolean late) {
-        // where the kill comes soon, the time that fronts take to learn of the stop goes before the next one's stop
+        // with a short stop timeout, time for load balancers to notice takes precedence over cutting before the next
+        // conductor's stop
         Duration early = allowed.minus(NOTICE).minus(ANSWERS);
         early = early.compareTo(EARLY) < 0 ? early.compareTo(LATE) < 0 ? LATE : early : EARLY;
         Duration cut = allowed.minus(late ? LATE : early);
--- a/src/main/java/copperbeam/lifecycle/package-info.java
+++ b/src/main/java/copperbeam/lifecycle/package-info.java
@@ -1,6 +1,6 @@
 /**
- * At work, drained by hand, stopping: which step of a conductor's life is due, without I/O or clock.
+ * Decides which step of a drain or stop of the conductor is due, without I/O or clock.
  *
- * <p>May be called by {@code program} alone, which carries the steps out. Imports nothing of the project.
+ * <p>May be called by {@code program} only, which carries the steps out. Depends on no other package of the project.
  */
 package copperbeam.lifecycle;
--- a/src/main/java/copperbeam/membership/Bans.java
+++ b/src/main/java/copperbeam/membership/Bans.java
@@ -15,20 +15,25 @@
 import java.util.TreeMap;
 
 /**
- * Servers left out by hand, between the list as told and the list as the module has it. One that is out drains,
- * whatever is told of it, also if it leaves and comes again under its id. One that is put back has been restarted
- * meanwhile: until the list tells of a start since it went out, it counts as started when it was put back. Guards
- * against a cold server that is sent to as if it were warm because the list is seconds late.
+ * Applies operators' bans to the server list before the module sees it. A banned server counts as draining whatever the
+ * list says of it, even if it leaves and joins again under the same id. A server whose ban is lifted is assumed to have
+ * been restarted meanwhile: until the list reports a launch after the ban, the server counts as launched when the ban
+ * was lifted. Guards against sending to a cold server as if it were warm because the list lags by seconds.
  */
 public final class Bans {
-    /** Put back: {@code start} holds until the list tells of one after {@code outAt}. */
+    /**
+     * A lifted ban.
+     *
+     * @param bannedAtS when the ban began, in epoch seconds
+     * @param assumedStartS launch time to assume until the list reports one after {@code bannedAtS}, in epoch seconds
+     */
     private record Back(double outAt, double start) {}
 
     private final Map<String, Entry> told = new TreeMap<>();
-    private final Map<String, Double> out = new TreeMap<>(); // since when, in the list's seconds
+    private final Map<String, Double> out = new TreeMap<>(); // in epoch seconds, as in the list
     private final Map<String, Back> back = new HashMap<>();
 
-    /** What was told, as the module is to have it. */
+    /** Records a change of the list and returns it with the bans applied. */
     public Change told(Change change) {
         if (change.kind() == ListKind.FULL || change.kind() == ListKind.CACHED) {
             told.clear();
@@ -46,7 +51,7 @@
         return new Change(change.kind(), seen);
     }
 
-    /** From now on these are out and all others are not; what changes for the module, perhaps nothing. */
+    /** Replaces the set of banned servers and returns what changes in the list that the module sees; may be empty. */
     public Change set(Set<String> servers, Instant now) {
         double at = ModuleTime.seconds(now);
         List<Entry> changed = new ArrayList<>();
@@ -68,7 +73,7 @@
         return new Change(ListKind.DELTA, changed);
     }
 
-    /** Whether the list names it. */
+    /** Whether the server is in the list. */
     public boolean lists(String server) {
         return told.containsKey(server);
     }
--- a/src/main/java/copperbeam/membership/LaunchTimes.java
+++ b/src/main/java/copperbeam/membership/LaunchTimes.java
@@ -17,35 +17,36 @@
 import java.util.Map;
 
 /**
- * Brings the start times of servers, which are told by the wall clock, to the steady clock by which their age is
- * reckoned. Guards slow start against wall clocks that step: read as it stands, a start told after a step back would be
- * long ago, and one told after a step forward in the future.
+ * Converts the launch times of servers, which the list gives in wall-clock time, to the steady clock from which server
+ * ages are computed. Guards slow start against steps of the wall clock: without conversion, a launch reported after a
+ * step back would seem long ago, and one reported after a step forward would lie in the future.
  *
- * <p>A time told may be by the wall clock before or after any step that was seen. Of these readings the youngest that is
- * not in the future counts, as a server wrongly taken for a cold one costs less than a cold one taken for warm. A start
- * in the future by every reading counts as now. Once brought over, a start stays what it is.
+ * <p>A listed time may stem from the wall clock before or after any observed step, so there is one candidate conversion
+ * for each known offset of the two clocks. The latest candidate that is not in the future is used, because taking a warm
+ * server for cold costs less than taking a cold one for warm. If all candidates are in the future, the current time is
+ * used. A launch time is converted once and then kept.
  */
 public final class LaunchTimes {
-    /** A difference of the clocks below this is no step: the wall clock may be slewed all the time. */
+    /** Smallest change of the clock offset that counts as a step; below it the wall clock may merely be slewed. */
     static final Duration LEAST_STEP = Duration.ofMillis(500);
-    /** Steps that are remembered, the newest ones. */
+    /** How many clock offsets are remembered, the most recent ones. */
     static final int MOST_STEPS = 16;
 
     private record Launch(double told, double steady) {}
 
     private final Clock steady;
     private final Clock wall;
-    private final Deque<Duration> offsets = new ArrayDeque<>(); // of the wall clock to the steady one, the newest first
+    private final Deque<Duration> offsets = new ArrayDeque<>(); // wall clock minus steady clock, newest first
     private final Map<String, Launch> launches = new HashMap<>();
 
-    /** {@code steady}: in step with {@code wall} as this is made. */
+    /** The two clocks must agree at the time of this call. */
     public LaunchTimes(Clock steady, Clock wall) {
         this.steady = steady;
         this.wall = wall;
         offsets.add(Duration.ZERO);
     }
 
-    /** Sees whether the wall clock has stepped; to be called now and then, also while the list does not change. */
+    /** Checks whether the wall clock has stepped; to be called regularly, also while the list does not change. */
     public void look() {
         Duration offset = Duration.between(steady.instant(), wall.instant());
         if (offset.minus(offsets.peekFirst()).abs().compareTo(LEAST_STEP) < 0) {
@@ -57,7 +58,7 @@
         }
     }
 
-    /** The same change with each start by the steady clock. */
+    /** Returns the change with all launch times converted to the steady clock. */
     public Change steady(Change change) {
         look();
         if (change.kind() == ListKind.FULL || change.kind() == ListKind.CACHED) {
--- a/src/main/java/copperbeam/membership/MemberBook.java
+++ b/src/main/java/copperbeam/membership/MemberBook.java
@@ -14,40 +14,41 @@
 import java.util.TreeMap;
 
 /**
- * Merges what several tellers say of the same servers, each of them late by a time of its own. What one teller
- * has said may be taken back by that teller at once, and by a later start of the server; another teller that
- * says less of a drain may simply not have heard of it yet, so its word is held for {@code care} from when the
- * drain was told. Guards against a server that drains and comes back to life because the address of the list
- * has moved to one that lags.
+ * Merges the server lists of several sources, each of which may lag by a delay of its own. A source is one address of
+ * the list service, or the same address again after its versions went back. What a source reported can be revoked at
+ * once by the same source, or by a later launch of the server. If another source doesn't report a drain, it may just
+ * not know of it yet, so its contradicting entry is held back until {@code maxLag} after the drain was reported. Guards
+ * against a draining server that is used again because the list's address has moved to a source that lags.
  */
 public final class MemberBook {
-    /** What holds of one server: said by whom and when. {@code entry} GONE: it has left, kept for {@code care}. */
+    /** The accepted state of one server, with its source and time. A server that is GONE is kept for {@code maxLag}. */
     private record Known(Entry entry, int teller, Instant at) {}
 
-    /** What a teller claims against a drain that another has told. */
+    /** An entry that contradicts another source's drain; it takes effect at {@code until} unless it is superseded. */
     private record Claim(Entry entry, int teller, Instant until) {}
 
     private final Duration care;
     private final boolean servers;
     private final Map<String, Known> known = new TreeMap<>();
     private final Map<String, Claim> claims = new TreeMap<>();
-    private int teller = Integer.MIN_VALUE; // whose list is the base: the newest that has given one
-    private Instant emptyUntil; // until when an empty list is not believed
+    private int teller = Integer.MIN_VALUE; // the highest-numbered source whose full list has been accepted
+    private Instant emptyUntil; // an empty full list is not accepted before this time; null: no doubt
 
-    /** {@code care}: by how much one teller may lag behind another; 0 or more. */
+    /** {@code maxLag}: by how much one source may lag behind another; 0 or more. */
     public MemberBook(Duration care) {
         this(care, false);
     }
 
-    /** {@code servers}: there are some, as far as is known from before, though nobody has told of any here. */
+    /** {@code serversExpected}: servers are known to exist from an earlier run, though no source has listed any yet. */
     MemberBook(Duration care, boolean servers) {
         this.care = care;
         this.servers = servers;
     }
 
     /**
-     * Whether a whole list is empty that is more like one of a teller that has heard of nobody yet than of a site without
-     * servers: the first of its teller, until it has been told for {@code care}.
+     * Whether a full list should be ignored because it is empty and more likely comes from a source that hasn't learned of
+     * any server yet than from a site without servers. This holds for the first full list of a source, until
+     * {@code maxLag} has passed since an empty list was first ignored.
      */
     boolean doubts(int by, List<Entry> entries, Instant now) {
         if (!entries.isEmpty() || by <= teller || !any() || emptyUntil != null && !now.isBefore(emptyUntil)) {
@@ -58,8 +59,8 @@
     }
 
     /**
-     * One teller's whole list. Tellers are numbered; one with a higher number goes before one with a lower.
-     * Returns what changes for who uses the list, perhaps without entries.
+     * Applies the full list of a source. Sources are numbered; a higher number takes precedence over a lower one.
+     * Returns the resulting change of the merged list, which may have no entries.
      */
     public Change whole(int by, List<Entry> entries, Instant now) {
         if (by < teller) {
@@ -78,7 +79,8 @@
         }
         before.forEach((id, k) -> {
             if (k.entry().member().state() != ServerState.GONE) {
-                // a drain that another told stays that one's word: a list that lags may come to the server's start yet
+                // a drain stays attributed to the source that reported it: the new list may lag, and report the same
+                // server as ready later
                 boolean drains = rank(k.entry()) > 0;
                 known.put(id, new Known(gone(k.entry()), drains ? k.teller() : by, drains ? k.at() : now));
             }
@@ -87,7 +89,10 @@
         return new Change(ListKind.FULL, listed());
     }
 
-    /** What one teller says has changed. Of a teller that is no longer the base only drains and ends count. */
+    /**
+     * Applies changes reported by a source. From a source with a lower number than the one whose full list was last
+     * accepted, only drains and departures are accepted.
+     */
     public Change changes(int by, List<Entry> entries, Instant now) {
         List<Entry> told = new ArrayList<>();
         for (Entry e : entries) {
@@ -102,7 +107,7 @@
         return new Change(ListKind.DELTA, told);
     }
 
-    /** What was claimed against a drain and has not been contradicted within {@code care}. */
+    /** Accepts and returns the held entries whose time has come without having been superseded. */
     public Change due(Instant now) {
         List<Entry> told = new ArrayList<>();
         for (Iterator<Claim> i = claims.values().iterator(); i.hasNext(); ) {
@@ -116,7 +121,7 @@
         return new Change(ListKind.DELTA, told);
     }
 
-    /** When {@link #due} has something to tell; null where nothing is held. */
+    /** When {@link #takeDueEntries} next has an entry to return; null if none is held. */
     public Instant next() {
         return claims.values().stream()
                 .map(Claim::until)
@@ -124,12 +129,12 @@
                 .orElse(null);
     }
 
-    /** Servers remembered, those that have left within {@code care} included. */
+    /** How many servers are remembered, including those that left within {@code maxLag}. */
     public int size() {
         return known.size();
     }
 
-    /** Whether the entry holds from now on; else it is held as a claim. */
+    /** Accepts the entry and returns true, or holds it back and returns false. */
     private boolean take(int by, Entry e, Instant now) {
         String id = id(e);
         Known k = known.get(id);
@@ -142,14 +147,14 @@
                 && rank(k.entry()) == rank(e)
                 && rank(e) > 0
                 && k.entry().member().launchedAt() == e.member().launchedAt();
-        // said again by another: the first to have said it keeps the time from which care counts
+        // a repeated drain or departure keeps the time of its first report, from which maxLag counts
         known.put(id, same ? new Known(e, by, k.at()) : new Known(e, by, now));
         return true;
     }
 
     /**
-     * Less far on its way out in the same life, or in use in an earlier one: that would also tell of a server that
-     * has just started that it is warm.
+     * Whether the entry may be older than what is known: it is less far along in leaving and of the same or an earlier
+     * launch, or it is ready with an earlier launch. The latter would make a server that has just started count as warm.
      */
     private static boolean lags(Entry e, Entry known) {
         int later = Double.compare(e.member().launchedAt(), known.member().launchedAt());
@@ -175,7 +180,7 @@
                 .toList();
     }
 
-    /** The further a server is on its way out, the higher. */
+    /** The further a server is along in leaving, the higher. */
     private static int rank(Entry e) {
         return switch (e.member().state()) {
             case READY -> 0;
--- a/src/main/java/copperbeam/membership/WatchPlan.java
+++ b/src/main/java/copperbeam/membership/WatchPlan.java
@@ -10,75 +10,90 @@
 import java.util.TreeMap;
 
 /**
- * Which calls a watch on the list has out: the whole list once, unless one is known from before, then one watch after
- * another, each at once after the last answer. A call that is silent beyond what it may take is asked beside itself on
- * a new connection, so that no single connection can hide a drain: its time runs from when it was asked, so that half
- * an answer, or one that dribbles, gains none. After failures it asks again by {@link Backoff}, and only for what is
- * there, until something is answered: who may wait cannot be told from who is silent.
- * During a move the old address is listened to until the new one has given its list and {@link #OVERLAP} more has
- * passed: an answer on its way there is told, whoever reads it.
+ * Decides which calls a watch on the server list makes: the full list once, unless one is known from before, then one
+ * long poll for changes after another, each right after the previous answer.
  *
- * <p>Bounded: {@link #MOST_CALLS} calls an address, {@link #MOST_OLD} addresses beside the current one.
+ * <p>If a call isn't answered within its time, another one is made on a new connection while the first stays open, so
+ * that no single connection can hide a drain. The time runs from the start of the call, so a partial or trickling answer
+ * doesn't extend it. After a failure, calls are retried with {@link Backoff} and don't wait for changes until one is
+ * answered, because a call that may wait can't be told from one that hangs.
+ *
+ * <p>When the address of the list service moves, calls at the old address stay open until the new one has given its full
+ * list and {@link #MOVE_OVERLAP} has passed: the service counts an answer sent there as received.
+ *
+ * <p>Bounded by {@link #MAX_CALLS_PER_ADDRESS} and {@link #MAX_OLD_ADDRESSES}.
  */
 public final class WatchPlan {
-    /** What a step asks of whoever does the calling, in order. */
+    /** What the caller, who does the I/O, has to do; actions are to be carried out in order. */
     public sealed interface Step permits Ask, Drop, Wake, Tell {}
 
-    /** {@code from} below 0: the whole list; else what has changed since, waited for {@code hold} at most. */
+    /**
+     * Starts a call.
+     *
+     * @param sinceVersion negative: ask for the full list; else for the changes since this version
+     * @param maxWait how long the service may wait for a change before it answers
+     */
     public record Ask(int call, InetSocketAddress at, long from, Duration hold) implements Step {}
 
-    /** The call's answer is no longer wanted. */
+    /** Cancels a call, whose answer is no longer needed. */
     public record Drop(int call) implements Step {}
 
-    /** {@link #woken} wants to be called after this time. */
+    /** Asks for a call of {@link #onTimer} with this token after the delay. */
     public record Wake(Duration after, int token) implements Step {}
 
-    /** The list has changed. */
+    /** Publishes a change of the merged list. */
     public record Tell(Change change) implements Step {}
 
-    /** An answer of discovery. */
+    /** An answer of the list service: the full list, or the changes since the version asked for. */
     public record Listing(long version, boolean full, List<Entry> entries) {}
 
-    // the protocol's clock, from which all other times here are worked out; docs/design-watch.md has the cases
-    /** What discovery has counts as told so long after it could be asked, and what a silence hides after its begin. */
+    // The first two durations are set by the protocol, and all others here follow from them; see docs/design-watch.md.
+    /**
+     * The protocol counts a change as known to us this long after the list service could be asked for it or, if a call
+     * hangs, this long after the call went silent.
+     */
     public static final Duration TOLD = Duration.ofSeconds(6);
-    /** After a move of the address, what is there counts as told. */
+    /** The protocol counts what the new address knows as known to us this long after a move of the address. */
     static final Duration MOVED = Duration.ofSeconds(4);
-    /** Of {@link #TOLD} for this machine: a busy core, a garbage collection. */
+    /** Part of {@link #INFORMED_AFTER} reserved for delays of this machine, such as a busy core or a garbage collection. */
     private static final Duration MARGIN = Duration.ofSeconds(1);
     /**
-     * Until a connection is up, or the call has failed. Below the 1 s after which a system asks for one again: a new call
-     * does so sooner.
+     * Time limit for establishing a connection. Below the 1 s after which an operating system sends a lost SYN again,
+     * since a new call does so sooner.
      */
     public static final Duration CONNECT = Duration.ofMillis(500);
     /**
-     * Beyond what an answer may take. What an agent has after an outage counts as told at once, and the last call may
-     * have been lost in that outage: this, a pause of 0.1 s and the next answer fit into the 1 s in which to act.
+     * How long after its wait a call may stay unanswered before it counts as silent. After an outage, what a local agent
+     * has counts as known to us at once, and the last call may have been lost in that outage: this timeout, a retry delay
+     * of 0.1 s and the next answer fit into the 1 s within which a change must be acted on.
      */
     public static final Duration SILENCE = Duration.ofMillis(500);
     /**
-     * From a failure to the next call at most: the last may come just before discovery can be reached, and the next is
-     * then connected and answered within {@link #TOLD}. Not less, as an overrun service needs the time.
+     * Longest delay from a failure to the next call. A call may fail just before the list service is reachable again; the
+     * next one is then still connected and answered within {@link #INFORMED_AFTER}. Not shorter, as an overloaded service
+     * needs the time.
      */
     static final Duration PAUSE = TOLD.minus(MARGIN).minus(CONNECT).minus(SILENCE);
-    /** From a call to the next at most, whatever became of it: a silent one is found out, and paused after. */
+    /** Longest time from one call to the next, whatever became of the first: a silence timeout and a retry delay. */
     static final Duration NEXT = PAUSE.plus(SILENCE);
     /**
-     * {@link #TOLD} less three times {@link #SILENCE} and the first two pauses of 0.5 and 1 s: by then three more calls
-     * are out, of which two may be silent too. A call that may wait counts 2 s after its wait if that is later than
-     * {@link #TOLD}; up to 4 s it is not.
+     * How long a call may wait for a change. This is {@link #INFORMED_AFTER} minus three times {@link #SILENCE_TIMEOUT}
+     * and minus the first two retry delays of 0.5 s and 1 s, so that three more calls have been made in time, of which
+     * two may be silent too. If a waiting call falls silent, the protocol counts its change as known 2 s after the wait if
+     * that is later than {@link #INFORMED_AFTER}; for waits of up to 4 s it is not.
      */
     public static final Duration HOLD = Duration.ofSeconds(3);
     /**
-     * From a call to the next where nothing new came of it. Guards against an address that answers each watch at once with
-     * nothing; below the 200 ms after which a watch is new.
+     * Shortest time from one call to the next if the first brought nothing new. Guards against a busy loop with a service
+     * that answers each long poll at once with nothing; below the 200 ms after which the service counts a watch as new.
      */
     static final Duration SPACE = Duration.ofMillis(100);
-    /** After a failure: what is there, at once. Not 0, which is no watch. */
+    /** How long a call after a failure may wait: practically not at all. Not 0, which would not be a long poll. */
     static final Duration BRIEF = Duration.ofMillis(1);
 
-    public static final Duration OVERLAP = Duration.ofSeconds(2); // an old address closes 1.5 s after a move
-    /** What one address may know later than another: what counts as told at the new one is there by then. */
+    /** How long an old address is kept after the new one has given its list; it closes its connections 1.5 s after a move. */
+    public static final Duration OVERLAP = Duration.ofSeconds(2);
+    /** By how much one address may lag behind another; after that the new one has every change that counts as known. */
     public static final Duration CARE = TOLD.plus(MOVED);
 
     static final int MOST_CALLS = 3;
@@ -86,14 +101,14 @@
 
     private static final class Address {
         final InetSocketAddress at;
-        int teller; // anew whenever its versions go back
+        int teller; // a new number whenever its versions go back
         boolean listed;
-        int failures; // in a row; a call that is silent too long is one
+        int failures; // consecutive; a call that timed out counts as one
         long version = -1;
-        boolean spaced; // SPACE has passed since the newest call
-        boolean waits; // for that with the next
+        boolean spaced; // MIN_CALL_INTERVAL has passed since the newest call
+        boolean waits; // the next call is due once minIntervalPassed
         final List<Integer> calls = new ArrayList<>();
-        int last; // the newest call; all others that are out have been silent for too long
+        int last; // the newest call; all other open calls have timed out
 
         Address(InetSocketAddress at, int teller) {
             this.at = at;
@@ -125,15 +140,16 @@
         this(backoff, false);
     }
 
-    /** {@code servers}: there were some when a list was last had, so that an empty first one is not believed at once. */
+    /** {@code serversExpected}: the last known list had servers, so an empty first list is not accepted at once. */
     public WatchPlan(Backoff backoff, boolean servers) {
         this.backoff = backoff.atMost(PAUSE);
         book = new MemberBook(CARE, servers);
     }
 
     /**
-     * Begins with a list from before, of which it asks what has changed since. Guards against whole lists asked for by
-     * all that start at once: where discovery works for each line, most of them wait for many seconds.
+     * Starts from a list known from before, and asks only for the changes since. Guards against many processes that start
+     * at once and all ask for the full list: as the work of the list service grows with each entry it sends, most of them
+     * would wait for many seconds.
      */
     public List<Step> begin(InetSocketAddress at, Listing known, Instant now) {
         current = new Address(at, ++tellers);
@@ -144,7 +160,7 @@
         return done();
     }
 
-    /** Begins with nothing, or goes on at another address. */
+    /** Starts without a known list, or goes on at another address. */
     public List<Step> move(InetSocketAddress to) {
         if (current != null && current.at.equals(to)) {
             return done();
@@ -161,27 +177,27 @@
         current = new Address(to, ++tellers);
         ask(current);
         if (moves) {
-            // what is there by then counts at once, however long the backoff has grown
+            // what the new address knows by then counts as known to us, however long the backoff has grown
             wake(MOVED.plus(backoff.after(1)), Due.MOVED, current, 0);
         }
         return done();
     }
 
-    /** {@code listing} is what the call was answered with. */
+    /** Handles the answer to a call. */
     public List<Step> answered(int call, Listing listing, Instant now) {
         Address a = of(call);
         if (a == null) {
             return done();
         }
         if (!a.listed && !listing.full()) {
-            return failed(call, false); // made anew at once it might be answered so for ever
+            return failed(call, false); // retried at once, it might be answered like this forever
         }
         if (listing.full() && listing.version() < a.version && a == current) {
-            a.teller = ++tellers; // it remembers less than it did, and is as one that lags
+            a.teller = ++tellers; // it has lost changes, and is treated like a source that lags
         }
         if (listing.full() && book.doubts(a.teller, listing.entries(), now)) {
             a.listed =
-                    false; // asked for whole until it is believed: what it would say of changes leaves out who has left
+                    false; // asks for the full list until it is accepted: changes would omit servers already gone
             return failed(call, false);
         }
         boolean news = listing.version() > a.version && !listing.entries().isEmpty();
@@ -189,7 +205,7 @@
         a.failures = 0;
         dropAll(a);
         if (!listing.full() && listing.version() < a.version) {
-            a.listed = false; // discovery began anew: changes against a list that we do not hold say nothing
+            a.listed = false; // the service has restarted: its changes refer to a list that we don't have
             news = true;
         } else {
             boolean first = !a.listed;
@@ -214,21 +230,21 @@
         return done();
     }
 
-    /** {@code gone}: the address no longer takes the version that was asked for. */
+    /** Handles a failed call. {@code versionGone}: the service no longer has the version that was asked for. */
     public List<Step> failed(int call, boolean gone) {
         Address a = of(call);
         if (a != null) {
             a.calls.remove((Integer) call);
             a.listed &= !gone || a != current;
             if (call == a.last) {
-                // though others are out: they are silent, and as long as one of them dribbles nobody else would ask
+                // even if other calls are open: they have timed out, and as long as one trickles nothing else would retry
                 wake(backoff.after(++a.failures), Due.NEXT, a, call);
             }
         }
         return done();
     }
 
-    /** A time that was asked for has come. */
+    /** Handles a timer that has run out. */
     public List<Step> woken(int token, Instant now) {
         Timer t = timers.remove(token);
         if (t != null) {
@@ -236,7 +252,8 @@
                 case NEXT -> {
                     Address a = t.address();
                     if (lives(a) && t.call() == a.last) {
-                        a.failures += a.calls.contains(t.call()) ? 1 : 0; // one that failed has been counted
+                        // a call that has failed is already counted
+                        a.failures += a.calls.contains(t.call()) ? 1 : 0;
                         ask(a);
                     }
                 }
@@ -260,7 +277,7 @@
         return done();
     }
 
-    /** Whether a list of the current address is in. */
+    /** Whether the full list of the current address has been received. */
     public boolean listed() {
         return current != null && current.listed;
     }
@@ -273,7 +290,8 @@
 
     private void ask(Address a) {
         if (a.calls.size() >= MOST_CALLS) {
-            drop(a, a.calls.get(1)); // not the first: an address may be slow, and would never be heard out
+            // not the first: with a slow service no call would ever complete
+            drop(a, a.calls.get(1));
         }
         int call = ++calls;
         a.calls.add(call);
@@ -283,8 +301,8 @@
         Duration hold = !a.listed ? Duration.ZERO : a.failures == 0 ? HOLD : BRIEF;
         steps.add(new Ask(call, a.at, a.listed ? a.version : -1, hold));
         wake(SPACE, Due.SPACE, a, call);
-        // stands also where the call fails: a connection that does not come up takes its time, and the pause after it
-        // more
+        // this timer also applies if the call fails: a connection that can't be established takes its time, and the retry
+        // delay comes on top
         Duration silent = hold.plus(SILENCE).plus(a.failures > 0 ? backoff.after(a.failures) : Duration.ZERO);
         wake(silent.compareTo(NEXT) < 0 ? silent : NEXT, Due.NEXT, a, call);
     }
@@ -296,7 +314,7 @@
     }
 
     private void wake(Duration after, Due what, Address address, int call) {
-        // those of calls that have been followed by another tell nothing
+        // earlier timers of this kind are obsolete; so are NEXT_CALL timers of calls that another call has followed
         timers.values()
                 .removeIf(t ->
                         t.what() == what && t.address() == address && (what != Due.NEXT || t.call() != address.last));
--- a/src/main/java/copperbeam/membership/package-info.java
+++ b/src/main/java/copperbeam/membership/package-info.java
@@ -1,9 +1,10 @@
 /**
- * What is known of the servers, and what is asked next of those that tell: choices without I/O or clock.
- * {@link copperbeam.membership.MemberBook} owns who said what of which server and whose word holds;
- * {@link copperbeam.membership.WatchPlan} owns the calls that are out at one address or at two during a move.
+ * The merged list of servers, and the calls by which it is watched: decision logic without I/O or clock.
+ * {@link copperbeam.membership.MemberBook} merges what several sources report of each server;
+ * {@link copperbeam.membership.WatchPlan} decides which calls are open at the current address of the list and, during a
+ * move, at earlier ones.
  *
- * <p>May be called by the sources of the list ({@code protocol.discovery}, {@code protocol.etcd}), each from its
- * own actor alone. Knows {@code routing}'s entries of the list and the module's members, and nothing above them.
+ * <p>May be called by the clients of the list service ({@code protocol.discovery}, {@code protocol.etcd}), each from its
+ * own actor only. Depends on {@code routing}'s list entries and on the module's members, and on nothing above them.
  */
 package copperbeam.membership;
--- a/src/main/java/copperbeam/operation/BanActor.java
+++ b/src/main/java/copperbeam/operation/BanActor.java
@@ -9,18 +9,18 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.function.Consumer;
 
-/** Owns which servers are out by hand; the list goes through here on its way to {@link ListActor}. */
+/** Owns the set of banned servers, and applies it to all changes of the list on their way to {@link ListActor}. */
 public final class BanActor extends Actor<BanActor.Message> {
-    /** What this actor is told. */
+    /** Messages to this actor. */
     public sealed interface Message permits Told, Out, Listed {}
 
-    /** By the source of the list. */
+    /** A change reported by the source of the list. */
     public record Told(Change change) implements Message {}
 
-    /** These servers are out from now on, all others are not; {@code acted} runs once the module has it. */
+    /** Replaces the set of banned servers; {@code onApplied} runs once the module has the change. */
     public record Out(Set<String> out, Runnable acted) implements Message {}
 
-    /** Answers whether the list names the server. */
+    /** Asks whether the server is in the list. */
     public record Listed(String server, Consumer<Boolean> answer) implements Message {}
 
     private final Bans bans = new Bans();
--- a/src/main/java/copperbeam/operation/OperatorCommands.java
+++ b/src/main/java/copperbeam/operation/OperatorCommands.java
@@ -9,8 +9,8 @@
 import java.util.logging.Logger;
 
 /**
- * The words of the operators' door. A call that only asks is answered on the door's thread from what others have
- * published; one that changes something is yes once its owner has acted.
+ * Handles the commands that operators send to the control address. Queries are answered on the listener's thread from
+ * published metrics; a command that changes something is acknowledged once the change has been applied.
  */
 public final class OperatorCommands implements AdminServer.CommandHandler {
     private static final Logger LOG = Logger.getLogger(OperatorCommands.class.getName());
@@ -22,7 +22,7 @@
     private final BanActor bans;
     private final Executor one;
 
-    /** {@code one}: one thread, on which calls that change something follow each other. */
+    /** {@code changeExecutor} must be single-threaded: commands that change something run on it one after another. */
     public OperatorCommands(Metrics metrics, BooleanSupplier serves, Shared shared, BanActor bans, Executor one) {
         this.metrics = metrics;
         this.serves = serves;
@@ -46,7 +46,7 @@
         }
     }
 
-    /** One that is out may have left the list meanwhile. */
+    /** Also takes banned servers that have left the list meanwhile. */
     private void ban(String call, String server, boolean out, Consumer<String> reply) {
         bans.tell(new BanActor.Listed(
                 server,
@@ -72,7 +72,7 @@
         return "NAK " + why + "\n";
     }
 
-    /** {@code app.NAME:VALUE|c} for counts since the start, {@code |g} for what is now. */
+    /** One metric a line: {@code app.NAME:VALUE|c} for counters since the start, {@code |g} for gauges. */
     static String lines(Metrics metrics) {
         StringBuilder text = new StringBuilder();
         long sends = 0;
--- a/src/main/java/copperbeam/operation/Shared.java
+++ b/src/main/java/copperbeam/operation/Shared.java
@@ -2,18 +2,18 @@
 
 import java.util.function.Consumer;
 
-/** What holds for all processes of this conductor, whichever of them was told. Called on one thread. */
+/** Bans and drains that apply to all processes of this conductor, whichever of them got the command. Called on one thread. */
 public interface Shared {
-    /** Whether the server is out by hand. */
+    /** Whether the server is banned. */
     boolean out(String server);
 
     /**
-     * Leaves the server out, or puts it back; {@code acted} runs once this process does so.
+     * Bans the server or lifts its ban; {@code onApplied} runs once this process has applied it.
      *
-     * @throws IllegalStateException where no more can be remembered
+     * @throws IllegalStateException if no more bans can be remembered
      */
     void ban(String server, boolean out, Runnable acted);
 
-    /** Sends clients away, or ends that; {@code done} false where a stop is under way. */
+    /** Starts or ends a drain of the conductor; {@code reply} gets false if a stop is under way. */
     void drain(boolean drained, Consumer<Boolean> done);
 }
--- a/src/main/java/copperbeam/operation/package-info.java
+++ b/src/main/java/copperbeam/operation/package-info.java
@@ -1,7 +1,8 @@
 /**
- * What staff say to a conductor that serves, and what they are told: the words of the door and the form of the figures.
- * Thin: {@link copperbeam.operation.OperatorCommands} turns a line into a message to its owner and the owner's word into a line.
+ * Operators' commands to a running conductor, and the format of the metrics they can ask for. A thin layer:
+ * {@link copperbeam.operation.OperatorCommands} turns a command line into a message to the component in charge, and that
+ * component's answer into a reply line.
  *
- * <p>Made by {@code program} where the configuration names a {@code control} address; else none of it is loaded.
+ * <p>Created by {@code program} if the configuration has a {@code control} address; otherwise none of it is loaded.
  */
 package copperbeam.operation;
--- a/src/test/java/copperbeam/handover/SharedStateTest.java
+++ b/src/test/java/copperbeam/handover/SharedStateTest.java
@@ -23,9 +23,9 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** What processes share, and how two such states become one. */
+/** Merging, bounds and queries of the state shared by the processes of a conductor. */
 public class SharedStateTest {
-    /** Few names, turns and times, so that all rules of a merge are met; more lives than may be. */
+    /** Draws from few names, revisions and times, so that all merge rules are exercised, and more processes than the bound. */
     static SharedState random(Random random) {
         SortedMap<String, Ban> bans = new TreeMap<>();
         SortedMap<String, Life> lives = new TreeMap<>();
@@ -61,7 +61,7 @@
         }
     }
 
-    /** Words: turn, {@code o} where out or drained, and time. */
+    /** Words: revision, {@code o} if banned or drained, and time. */
     @DataProvider
     public Object[][] bans() {
         return new Object[][] {
@@ -83,8 +83,9 @@
     }
 
     /**
-     * Two processes and one file. A change takes a turn from even to odd or back, so the oracle counts turns: of the
-     * drain (0) and of servers, as known to process 0, process 1 and in the file (2). Odd is out; more turns win.
+     * Two processes and one file. Every change increments a revision, and bans and lifts alternate, so the oracle only
+     * counts revisions: of the drain (index 0) and of three servers, as known to process 0, process 1 and the file (2).
+     * Odd means banned or drained; the higher revision wins.
      */
     private static final class Pair {
         final SharedState[] states = {SharedState.EMPTY, SharedState.EMPTY};
@@ -104,7 +105,7 @@
         void byHand(int p, int what, boolean out, Instant at) {
             SharedState before = states[p];
             states[p] = what == 0 ? before.drain(out, at) : before.ban("s" + what, out, at);
-            assertEquals(states[p] == before, turns[p][what] % 2 == 1 == out, "the same again changes nothing");
+            assertEquals(states[p] == before, turns[p][what] % 2 == 1 == out, "repeating a command changes nothing");
             turns[p][what] += states[p] == before ? 0 : 1;
         }
 
@@ -152,7 +153,7 @@
         SharedState state = new SharedState(many, SharedState.EMPTY.drain(), new TreeMap<>());
         assertEquals(state.bans().size(), SharedState.MOST_BANS);
         state = state.ban("a", true, Instant.EPOCH);
-        assertFalse(state.bans().containsKey("s0"), "the oldest put-back goes first");
+        assertFalse(state.bans().containsKey("s0"), "the lifted ban that is oldest is forgotten first");
         assertTrue(state.bans().containsKey("s1"));
         SharedState full = state.ban("b", true, Instant.EPOCH);
         assertEquals(full.banned().size(), SharedState.MOST_BANS);
@@ -175,7 +176,10 @@
         assertEquals(state.lives().firstKey(), "life2");
     }
 
-    /** Lives: name, start, first letter of the phase, slot; then the slots in use, who asks and what is answered. */
+    /**
+     * Processes: name, start, phase (sTarting, Serving, Leaving) and slot; then the slots in use, the asking process, its
+     * expected successor and whether it has others.
+     */
     @DataProvider
     public Object[][] lives() {
         return new Object[][] {
@@ -188,7 +192,7 @@
             {"a1S0 b1S1", "01", "a", "b", true},
             {"a1S0 b1S1", "01", "b", "", true},
             {"a1S0 b2S1", "0", "a", "", false},
-            {"a1S0 b2S1 c3T1", "01", "a", "", true}, // b crashed and c holds its slot
+            {"a1S0 b2S1 c3T1", "01", "a", "", true}, // b has crashed, and c holds its slot
             {"a1S0 b2T1 b2S1 b2T1", "01", "a", "b", true},
             {"a1S0 b2S1 b2L1 b2S1", "01", "a", "", true},
             {"b2S1", "01", "a", "", true},
--- a/src/test/java/copperbeam/handover/StateCodecTest.java
+++ b/src/test/java/copperbeam/handover/StateCodecTest.java
@@ -20,7 +20,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The file: what is read is what was written, or nothing. */
+/** The state file: decoding returns exactly what was encoded, or fails. */
 public class StateCodecTest {
     private static final Instant NOW = Instant.parse("2026-12-01T10:00:00.000000001Z");
     private static final SharedState SAMPLE = SharedState.EMPTY
@@ -41,7 +41,7 @@
         return text.getBytes(StandardCharsets.UTF_8);
     }
 
-    /** A file with the right header for any content. */
+    /** Returns a file with the given content and a valid header for it. */
     private static byte[] forged(String json) {
         CRC32C sum = new CRC32C();
         sum.update(bytes(json));
@@ -60,7 +60,7 @@
             assertEquals(StateCodec.read("c\"", StateCodec.write("c\"", state, NOW)), state);
         }
         assertEquals(text(FILE), text(forged(JSON)));
-        for (String written : new String[] {"2020", "2100"}) { // wall clocks step, either way
+        for (String written : new String[] {"2020", "2100"}) { // the wall clock may step in either direction
             byte[] file = bytes(change("\"written\":\"[0-9]{4}", "\"written\":\"" + written));
             assertEquals(StateCodec.read("c", file), SAMPLE);
         }
@@ -78,7 +78,7 @@
         }
     }
 
-    /** A writer writes a temporary file and renames it; wherever it dies, the old file holds and the next can write. */
+    /** A writer writes a temporary file and renames it; wherever it crashes, the old file stays valid and can be replaced. */
     @Test
     public void aWriterThatDiesChangesNothing() throws IOException, Refused {
         Path directory = Files.createTempDirectory("handover");
@@ -91,7 +91,7 @@
             Files.write(temporary, Arrays.copyOf(file, dies));
             assertEquals(StateCodec.read("c", Files.readAllBytes(state)), SAMPLE);
             if (dies < file.length) {
-                refused(Files.readAllBytes(temporary), "died after " + dies);
+                refused(Files.readAllBytes(temporary), "crashed after byte " + dies);
             }
             Files.write(temporary, file);
             Files.move(temporary, state, StandardCopyOption.ATOMIC_MOVE);
@@ -161,7 +161,7 @@
         refused(file.getBytes(StandardCharsets.ISO_8859_1), "Latin-1");
     }
 
-    /** Whatever the JSON: refused, or a state that can be written and read again. */
+    /** Any JSON is either rejected or gives a state that can be encoded and decoded again. */
     @Test
     public void noForgedContentDoesHarm() throws Refused {
         String[] bits = {
@@ -206,10 +206,10 @@
                 assertEquals(StateCodec.read("c", StateCodec.write("c", state, NOW)), state);
                 believed++;
             } catch (Refused e) {
-                // as most are
+                // the expected result of most changes
             }
         }
-        assertTrue(believed > 100, "changes that harm nothing are met too: " + believed);
+        assertTrue(believed > 100, "too few changes gave a valid file: " + believed);
     }
 
     @Test
--- a/src/test/java/copperbeam/lifecycle/LifecycleTest.java
+++ b/src/test/java/copperbeam/lifecycle/LifecycleTest.java
@@ -11,44 +11,44 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The steps of a stop. */
+/** The steps of drains and stops. */
 public class LifecycleTest {
     private static final Duration ALLOWED = Duration.ofMillis(3700);
 
-    /** Words: milliseconds since the wish, {@code o} where something is open, {@code a} where others are away. */
+    /** Words: milliseconds since the stop, {@code o} if connections are open, {@code a} if other conductors are away. */
     @DataProvider
     public Object[][] stops() {
         return new Object[][] {
             {"nothing is open", true, "0 799 800 801", "SERVE SERVE CLOSE END"},
             {
-                "clients are led away once fronts know",
+                "idle connections are closed once load balancers have noticed",
                 true,
                 "0o 800o 2649o 2650 2651",
                 "SERVE LEAD_AWAY LEAD_AWAY ANSWER END"
             },
-            {"what the system had taken is served first", true, "800 801o 2000o 2001", "CLOSE CLOSE CLOSE END"},
-            {"and gets its answer in time", true, "800 801o 2650o 2850o", "CLOSE CLOSE ANSWER CUT"},
+            {"already accepted connections are served first", true, "800 801o 2000o 2001", "CLOSE CLOSE CLOSE END"},
+            {"such connections get their answer in time", true, "800 801o 2650o 2850o", "CLOSE CLOSE ANSWER CUT"},
             {
-                "open requests are answered, then streams cut",
+                "open requests are answered, then streams are cut",
                 true,
                 "0o 2650o 2849o 2850o 2900",
                 "SERVE ANSWER ANSWER CUT END"
             },
             {
-                "later where others are away",
+                "streams are cut later if other conductors are away",
                 true,
                 "0oa 2850oa 3149oa 3150oa 3349oa 3350oa 3360",
                 "SERVE LEAD_AWAY LEAD_AWAY ANSWER ANSWER CUT END"
             },
-            {"no way back to what was left", true, "2700o 2800oa 2860oa", "ANSWER ANSWER ANSWER"},
+            {"steps never go back", true, "2700o 2800oa 2860oa", "ANSWER ANSWER ANSWER"},
             {
                 "streams that can't resume are not cut",
                 false,
                 "0o 2650o 3350o 9000o 9001",
                 "SERVE ANSWER ANSWER ANSWER END"
             },
-            {"something to let go holds the end", true, "900o 1000o 1100 1101", "LEAD_AWAY LEAD_AWAY CLOSE END"},
-            {"an end is one", true, "899 900 901o 5000o", "CLOSE END END END"},
+            {"a connection that is still open delays the end", true, "900o 1000o 1100 1101", "LEAD_AWAY LEAD_AWAY CLOSE END"},
+            {"the end is final", true, "899 900 901o 5000o", "CLOSE END END END"},
         };
     }
 
@@ -67,33 +67,36 @@
         assertEquals(seen.toString().strip(), steps, name);
     }
 
-    /** Words: milliseconds; d a drain by hand, r its end, s a stop, S a successor serves, N it does no more; then what holds. */
+    /**
+     * Words: milliseconds and an event: d a drain, r its end, s a stop, S a successor serves, N it no longer does; without
+     * an event (or with o: connections are open), the step and health (+ or -) are recorded and compared with the last column.
+     */
     @DataProvider
     public Object[][] lives() {
         return new Object[][] {
             {"a drain stays", "10d 10 809 810 90000", "SERVE- SERVE- LEAD_AWAY- LEAD_AWAY-"},
-            {"twice is once", "10d 700d 810", "LEAD_AWAY-"},
+            {"a second drain changes nothing", "10d 700d 810", "LEAD_AWAY-"},
             {"back to work", "10d 900 900r 901", "LEAD_AWAY- WORK+"},
-            {"back before anybody was led away", "10d 20 30r 40 5000", "SERVE- WORK+ WORK+"},
-            {"drained anew", "10d 900 900r 1000d 1000 1800", "LEAD_AWAY- SERVE- LEAD_AWAY-"},
+            {"back to work before connections were closed", "10d 20 30r 40 5000", "SERVE- WORK+ WORK+"},
+            {"drained again", "10d 900 900r 1000d 1000 1800", "LEAD_AWAY- SERVE- LEAD_AWAY-"},
             {"a stop goes on from a drain", "10d 2000s 2000o 4649o 4650o", "LEAD_AWAY- LEAD_AWAY- ANSWER-"},
-            {"a stop of a drained one may end at once", "10d 2000s 2000 2001", "CLOSE- END-"},
+            {"a stop of a drained conductor may end at once", "10d 2000s 2000 2001", "CLOSE- END-"},
             {"no way back from a stop", "10d 2000s 2001r 2001o", "LEAD_AWAY-"},
             {"no drain in a stop", "2000s 2001d 2010", "SERVE-"},
             {
-                "a successor serves: led away at once",
+                "a successor serves: idle connections are closed at once",
                 "1000S 1000o 2000s 2000o 5149o 5150o 5350o 5360",
                 "LEAD_AWAY+ LEAD_AWAY+ LEAD_AWAY+ ANSWER+ CUT+ END+"
             },
-            {"and gone by the stop", "1000S 1500 2000s 2000", "LEAD_AWAY+ END+"},
+            {"a successor serves, and all clients are gone before the stop", "1000S 1500 2000s 2000", "LEAD_AWAY+ END+"},
             {"the successor dies: back to work", "1000S 1500o 2000N 2000o 3000s 3000o", "LEAD_AWAY+ WORK+ SERVE-"},
-            {"it comes during the stop", "2000s 2100o 2200S 2200o", "SERVE- LEAD_AWAY+"},
+            {"a successor comes during the stop", "2000s 2100o 2200S 2200o", "SERVE- LEAD_AWAY+"},
             {
-                "it dies during the stop: as if none had come",
+                "the successor dies during the stop: as if none had come",
                 "2000S 2100s 2200N 2200o 4550o 4750o",
                 "SERVE- LEAD_AWAY- ANSWER-"
             },
-            {"drained, and a successor: still no yes", "10d 2000S 2000o", "LEAD_AWAY-"},
+            {"drained, and a successor serves: still unhealthy", "10d 2000S 2000o", "LEAD_AWAY-"},
             {"drained, and the successor dies", "10d 2000S 2000o 2100N 2100o", "LEAD_AWAY- LEAD_AWAY-"},
         };
     }
@@ -113,14 +116,14 @@
                 case 'N' -> life.succeeded(successor = false);
                 default -> {
                     seen.append(life.at(now, at.endsWith("o"), false)).append(life.healthy() ? "+ " : "- ");
-                    assertTrue(!successor || !life.listens(), name + ": two listen for one");
+                    assertTrue(!successor || !life.listens(), name + ": both processes listen");
                 }
             }
         }
         assertEquals(seen.toString().strip(), steps, name);
     }
 
-    /** Whatever happens: never back, no end with something open, all cut in time where that may be. */
+    /** In any sequence: steps never go back, no end with open connections, and streams are cut in time if resumable. */
     @Test
     public void stepsNeverGoBackAndNothingOpenEnds() {
         Random random = new Random(5);
@@ -143,7 +146,7 @@
         }
     }
 
-    /** Milliseconds: until the kill, the answers, the cut, and both where others are away. */
+    /** Milliseconds until the kill, the final answers and the cut, and the latter two if other conductors are away. */
     @DataProvider
     public Object[][] kills() {
         return new Object[][] {
@@ -176,7 +179,7 @@
         }
     }
 
-    /** A stream that can't be cut may outlast the stop, so that none is begun that the kill would count. */
+    /** A stream that can't be cut may outlast the stop, so none is started that would have to end before the kill. */
     @Test
     public void nothingIsBegunLateInAStopWhereStreamsCantResume() {
         for (boolean resume : new boolean[] {false, true}) {
@@ -189,7 +192,7 @@
         }
     }
 
-    /** Releases that no server has heard once held a process up to the kill. */
+    /** Releases that no server confirmed once kept a process running until the kill. */
     @Test
     public void whoOwesNoAnswerEndsBeforeTheKill() {
         Lifecycle plan = new Lifecycle(ALLOWED, true);
--- a/src/test/java/copperbeam/membership/BansTest.java
+++ b/src/test/java/copperbeam/membership/BansTest.java
@@ -18,25 +18,26 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** What the module has of servers that are left out by hand. */
+/** Bans applied to the server list before the module sees it. */
 public class BansTest {
     /**
-     * Words: SECOND:WHAT. "+5" told ready and started at 5, "*+5" the same as a whole list, "~5" draining, "-" gone,
-     * "*" a whole list without it, "out", "back". After each: what the module was told last, "r" ready, "d" draining, "g" gone.
+     * Each word is SECOND:EVENT. The list reports server a: "+5" ready and launched at 5, "*+5" the same in a full list,
+     * "~5" draining, "-" gone, "*" a full list without it. Operators: "out" bans it, "back" lifts the ban. Expected after
+     * each event is what the module was told last: "r" ready, "d" draining, "g" gone, each with the launch time.
      */
     @DataProvider
     public Object[][] words() {
         return new Object[][] {
-            {"out drains, and back it is cold", "0:+0 1:out 9:back", "r0 d0 r9"},
-            {"a start told meanwhile is the start", "0:+0 1:out 3:+3 9:back", "r0 d0 d3 r3"},
-            {"a start told afterwards is the start", "0:+0 1:out 9:back 10:+0 11:+8", "r0 d0 r9 r9 r8"},
-            {"out twice and back once", "0:+0 1:out 2:out 9:back", "r0 d0 d0 r9"},
-            {"out whatever is told", "0:+0 1:out 2:+0 3:*+0 4:~0 5:+0", "r0 d0 d0 d0 d0 d0"},
-            {"out again under its id", "0:+0 1:out 2:- 3:+2 4:back", "r0 d0 g0 d2 r2"},
-            {"out before it is known", "0:out 1:+0", "? d0"},
-            {"back while it drains by itself", "0:+0 1:out 2:~0 3:back 4:+0", "r0 d0 d0 d0 r3"},
-            {"back and out again", "0:+0 1:out 2:back 3:out 4:+2 9:back", "r0 d0 r2 d0 d2 r9"},
-            {"a whole list without it", "0:+0 1:out 2:* 3:back 4:+0", "r0 d0 d0 d0 r0"},
+            {"a banned server drains, and is cold once the ban is lifted", "0:+0 1:out 9:back", "r0 d0 r9"},
+            {"a launch reported during the ban is kept", "0:+0 1:out 3:+3 9:back", "r0 d0 d3 r3"},
+            {"a launch reported after the ban is lifted replaces the assumed one", "0:+0 1:out 9:back 10:+0 11:+8", "r0 d0 r9 r9 r8"},
+            {"banned twice, lifted once", "0:+0 1:out 2:out 9:back", "r0 d0 d0 r9"},
+            {"stays banned whatever the list reports", "0:+0 1:out 2:+0 3:*+0 4:~0 5:+0", "r0 d0 d0 d0 d0 d0"},
+            {"leaves and joins again under the same id while banned", "0:+0 1:out 2:- 3:+2 4:back", "r0 d0 g0 d2 r2"},
+            {"banned before the list has it", "0:out 1:+0", "? d0"},
+            {"ban lifted while the list reports a drain", "0:+0 1:out 2:~0 3:back 4:+0", "r0 d0 d0 d0 r3"},
+            {"ban lifted and renewed", "0:+0 1:out 2:back 3:out 4:+2 9:back", "r0 d0 r2 d0 d2 r9"},
+            {"a full list without it", "0:+0 1:out 2:* 3:back 4:+0", "r0 d0 d0 d0 r0"},
         };
     }
 
@@ -78,7 +79,7 @@
         return new Entry(new Member(id, "z", "k", 0, state, 1, start), null);
     }
 
-    /** Whatever is told and called, in any order: none that is out is ready, and all others are as they were told last. */
+    /** In any order of list changes and bans, no banned server is ready, and all others are as last reported. */
     @Test
     public void noneThatIsOutIsReady() {
         for (int seed = 0; seed < 300; seed++) {
--- a/src/test/java/copperbeam/membership/LaunchTimesTest.java
+++ b/src/test/java/copperbeam/membership/LaunchTimesTest.java
@@ -16,7 +16,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Starts of servers told by a wall clock that steps, at 10,000 s of the steady one. */
+/** Conversion of launch times given by a wall clock that steps; the steady clock is at 10,000 s. */
 public class LaunchTimesTest {
     private static final class Settable extends Clock {
         private double seconds;
@@ -50,7 +50,7 @@
                 .launchedAt();
     }
 
-    /** A step, seen or not yet; a start told 5 s ago by the clock of that time; and its reading. */
+    /** Step of the wall clock in s, listed launch time, and the expected launch time by the steady clock. */
     @DataProvider
     public Object[][] starts() {
         return new Object[][] {
@@ -58,10 +58,10 @@
             {-3600, 6395, 9995},
             {3600, 13595, 9995},
             {-2, 9993, 9995},
-            {2, 9997, 9997}, // by either clock: the younger reading
+            {2, 9997, 9997}, // possible with and without the step: the later candidate counts
             {0.2, 9995, 9995}, // slewed
-            {0, 10007, 10000}, // in the future by every reading
-            {-3600, 9995, 9995}, // told by the clock before the step
+            {0, 10007, 10000}, // in the future with every offset
+            {-3600, 9995, 9995}, // reported by the clock before the step
             {3600, 9995, 9995},
             {3600, 0, 0}, // long ago
         };
@@ -82,7 +82,7 @@
         LaunchTimes times = new LaunchTimes(steady, wall);
         double before = launched(times, 6400);
         steady.seconds = 10_000;
-        wall.seconds = 6401; // 6400 would be a second ago by this clock
+        wall.seconds = 6401; // by this clock, 6400 would be one second ago
         assertEquals(launched(times, 6400), before, 0);
     }
 }
--- a/src/test/java/copperbeam/membership/MemberBookTest.java
+++ b/src/test/java/copperbeam/membership/MemberBookTest.java
@@ -20,11 +20,11 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Who said what, and whose word holds. */
+/** Merging of the lists of several sources: which source's report of a server counts. */
 public class MemberBookTest {
     private static final Duration CARE = Duration.ofSeconds(10);
 
-    /** {@code a+0}: a is active and started at 0 s; {@code -} leaving; {@code x} left. */
+    /** {@code a+0}: server a is ready and was launched at 0 s; {@code -}: draining; {@code x}: gone. */
     static List<Entry> entries(String text) {
         return Arrays.stream(text.split(" "))
                 .filter(w -> !w.isEmpty())
@@ -51,31 +51,31 @@
                 .collect(Collectors.joining(" "));
     }
 
-    /** Steps: teller, {@code =} whole list or {@code ~} changes, entries, {@code @} second; then what a user holds. */
+    /** Steps: source, {@code =} full list or {@code ~} changes, entries, {@code @} second; then the resulting list. */
     @DataProvider
     public Object[][] days() {
         return new Object[][] {
-            {"one teller is believed at once", "1=a+0 b+0@0;1~a-0@1;1~a+0@2", "a+0 b+0"},
-            {"one teller's whole list replaces the last", "1=a+0 b+0@0;1=b+0 c+0@1", "b+0 c+0"},
+            {"a single source is believed at once", "1=a+0 b+0@0;1~a-0@1;1~a+0@2", "a+0 b+0"},
+            {"a source's full list replaces its previous one", "1=a+0 b+0@0;1=b+0 c+0@1", "b+0 c+0"},
             {"a list that lags does not undo a drain", "1=a+0 b+0@0;1~a-0@1;2=a+0 b+0@2", "a-0 b+0"},
-            {"nor an end", "1=a+0 b+0@0;1~ax0@1;2=a+0 b+0@2", "b+0"},
-            {"nor do the lagging teller's changes", "1=a+0@0;1~a-0@1;2=a+0@2;2~a+0@3", "a-0"},
-            {"nor a server it comes to hear of late", "1=a+0 b+0@0;1~a-0@1;2=b+0@2;2~a+0@3", "b+0"},
-            {"nor its second whole list", "1=a+0@0;1~a-0@1;2=a+0@2;2=a+0@3", "a-0"},
-            {"a later start does", "1=a+0@0;1~a-0@1;2=a+5@2", "a+5"},
-            {"and time does", "1=a+0@0;1~a-0@1;2=a+0@2;due@11", "a+0"},
-            {"but not too little of it", "1=a+0@0;1~a-0@1;2=a+0@2;due@10", "a-0"},
-            {"what was claimed and then contradicted is no claim", "1=a+0@0;1~a-0@1;2=a+0@2;2~a-0@3;due@20", "a-0"},
+            {"a list that lags does not undo a departure", "1=a+0 b+0@0;1~ax0@1;2=a+0 b+0@2", "b+0"},
+            {"changes of a lagging source do not undo a drain", "1=a+0@0;1~a-0@1;2=a+0@2;2~a+0@3", "a-0"},
+            {"a lagging source that learns late of a server undoes no drain", "1=a+0 b+0@0;1~a-0@1;2=b+0@2;2~a+0@3", "b+0"},
+            {"the second full list of a lagging source does not undo a drain", "1=a+0@0;1~a-0@1;2=a+0@2;2=a+0@3", "a-0"},
+            {"a later launch undoes a drain", "1=a+0@0;1~a-0@1;2=a+5@2", "a+5"},
+            {"a contradicting entry takes effect after the longest lag", "1=a+0@0;1~a-0@1;2=a+0@2;due@11", "a+0"},
+            {"a contradicting entry has no effect before the longest lag is over", "1=a+0@0;1~a-0@1;2=a+0@2;due@10", "a-0"},
+            {"a held entry is dropped once its own source reports the drain", "1=a+0@0;1~a-0@1;2=a+0@2;2~a-0@3;due@20", "a-0"},
             {"a list that lags makes no cold server warm", "1=a+0@0;1~a-0@1;1~a+9@2;2=a+0@3;2~a-0@4;2~a+9@5", "a+9"},
-            {"nor before it has caught up", "1=a+0@0;1~a+9@2;2=a+0@3", "a+9"},
-            {"an old teller's drain counts", "1=a+0 b+0@0;2=a+0 b+0@1;1~a-0@2", "a-0 b+0"},
-            {"an old teller's end counts", "1=a+0 b+0@0;2=a+0 b+0@1;1~ax0@2", "b+0"},
-            {"an old teller's other word does not", "1=a+0@0;2=a-0@1;1~a+0@2", "a-0"},
-            {"an old teller's drain of an earlier start does not", "1=a+0@0;2=a+5@1;1~a-0@2", "a+5"},
-            {"an old teller's whole list ends nothing", "1=a+0@0;2=a+0 b+0@1;1=a+0@2", "a+0 b+0"},
-            {"an empty first list is not believed", "1=a+0 b-0@0;2=@1", "a+0 b-0"},
-            {"unless it is told for long", "1=a+0@0;2=@1;2=@11", ""},
-            {"a known teller may empty its list", "1=a+0@0;1=@1", ""},
+            {"a list that lags behind a launch makes no cold server warm", "1=a+0@0;1~a+9@2;2=a+0@3", "a+9"},
+            {"a drain reported by an older source counts", "1=a+0 b+0@0;2=a+0 b+0@1;1~a-0@2", "a-0 b+0"},
+            {"a departure reported by an older source counts", "1=a+0 b+0@0;2=a+0 b+0@1;1~ax0@2", "b+0"},
+            {"other changes of an older source do not count", "1=a+0@0;2=a-0@1;1~a+0@2", "a-0"},
+            {"an older source's drain of an earlier launch does not count", "1=a+0@0;2=a+5@1;1~a-0@2", "a+5"},
+            {"a full list of an older source removes nothing", "1=a+0@0;2=a+0 b+0@1;1=a+0@2", "a+0 b+0"},
+            {"an empty first list is not accepted", "1=a+0 b-0@0;2=@1", "a+0 b-0"},
+            {"an empty first list is accepted after the longest lag", "1=a+0@0;2=@1;2=@11", ""},
+            {"a source that has given a list may empty it", "1=a+0@0;1=@1", ""},
         };
     }
 
@@ -109,7 +109,7 @@
         }
     }
 
-    /** Guards against a book that grows on a day on which servers come under ever new ids. */
+    /** Guards against unbounded growth if servers keep joining under new ids. */
     @Test
     public void nothingIsKeptOfWhatHasLeft() {
         MemberBook book = new MemberBook(CARE);
--- a/src/test/java/copperbeam/membership/OneClockTest.java
+++ b/src/test/java/copperbeam/membership/OneClockTest.java
@@ -24,30 +24,39 @@
 import org.testng.annotations.Test;
 
 /**
- * The watch against the protocol's one clock, in virtual time (ms): an address with two spells of trouble and a drain,
- * over all kinds of the spells, their lengths and all orders in time of their ends, the drain and the calls. When the
- * drain counts as told is worked out here, from the protocol's words and the calls that fell silent, not from the plan.
+ * Simulates the watch in virtual time (ms) and checks it against the protocol's deadlines: an address has two outages and
+ * reports one drain, over all kinds and lengths of outages and all orders of their ends, the drain and the calls. The time
+ * at which the drain counts as known to us is computed here from the protocol's rules and the calls that fell silent,
+ * independently of the plan.
  */
 public class OneClockTest {
     private static final InetSocketAddress[] AT = {
         new InetSocketAddress("127.0.0.1", 1), new InetSocketAddress("127.0.0.1", 2)
     };
-    private static final int GRACE = 1000 - 150; // from told to acted on, less what the actors and the machine may take
+    private static final int GRACE = 1000 - 150; // to act on a known change, less the time for actors and the machine
     private static final int MOVE = 1000;
-    private static final int CALL = 5000; // from a call to the end of the next, where it must be asked for
+    private static final int CALL = 5000; // longest from a call to the end of the next, if the service must be polled
     private static final int NEVER = 100_000;
 
-    /** Calls open as it begins, and all that are made in it, are refused, or hear nothing more for good. */
+    /** An outage: calls that are open when it begins or made during it are refused, or are never answered. */
     private record Spell(boolean refuses, int from, int length) {
         boolean at(int time) {
             return time >= from && time < from + length;
         }
     }
 
-    /** {@code dribbles}: on silent calls a byte comes now and then. {@code late}: what an answer takes. */
+    /**
+     * One scenario.
+     *
+     * @param pushed a local agent reports changes by itself; else a shared service must be polled
+     * @param moves the address moves, and the new one has the outages
+     * @param trickles a byte comes now and then on silent calls
+     * @param answerMs time that an answer takes
+     * @param drainAtMs when the service learns of the drain
+     */
     private record Day(
             boolean pushed, boolean moves, Spell first, Spell second, boolean dribbles, int late, int drain) {
-        /** From when on, at that time or later, new calls are answered for so long. */
+        /** The earliest moment, not before {@code time}, from which new calls are answered for {@code span} ms. */
         int reached(int time, int span) {
             for (Spell s : List.of(first, second)) {
                 int end = s.from() + s.length();
@@ -58,7 +67,7 @@
     }
 
     private record Silent(Ask ask, int asked, int since) {
-        /** Six seconds after the silence began, or two after the call's wait, if that is later. */
+        /** Six seconds after the silence began, or two seconds after the end of the call's wait, if that is later. */
         int told() {
             return (int) Math.max(since + 6000, asked + ask.hold().toMillis() + 2000);
         }
@@ -71,7 +80,7 @@
         }
     }
 
-    /** Plays one day. */
+    /** Runs one scenario. */
     private static final class Play {
         final Day day;
         final WatchPlan plan;
@@ -185,7 +194,7 @@
             if (spell.refuses()) {
                 refused = true;
                 at(now, fail);
-            } else if (asked.put(-call, now) == null) { // once: it hears nothing more
+            } else if (asked.put(-call, now) == null) { // only once, as the call is never answered afterwards
                 out.remove(call);
                 silent.add(new Silent(a, asked.get(call), now));
                 if (!day.dribbles()) {
@@ -195,7 +204,7 @@
         }
 
         int told() {
-            // nobody can tell a silent call from one that may wait before that wait is over
+            // a silent call can't be told from one that waits before that wait is over
             int wait = silent.isEmpty()
                     ? 0
                     : silent.get(0).asked() + (int) silent.get(0).ask().hold().toMillis();
@@ -203,17 +212,17 @@
             int moved = day.moves() ? MOVE + 4000 : 0;
             int told = Math.max(day.reached(last, GRACE), moved);
             if (refused && !day.pushed()) {
-                told += 40_000; // after a call that failed, four times rules.ask_within_s
+                told += 40_000; // after a failed call, four times rules.ask_within_s
             }
             if (!silent.isEmpty()) {
-                // the first silence counts; where the list is asked for and more than three calls in a row were silent,
-                // each counts for itself: who must not overrun a service cannot always have three more out in time
+                // the first silence counts; if the service is polled and more than three calls in a row were silent, each
+                // counts by itself: a client that must not overload the service can't always make three more in time
                 int n = silent.size();
                 told = Math.max(
                         told, silent.get(day.pushed() || n <= 3 ? 0 : n - 1).told());
             }
             if (!day.pushed()) {
-                // and whatever became of the calls, six seconds after discovery could be reached for long enough
+                // whatever became of the calls, six seconds after the service has been reachable for long enough
                 told = Math.min(told, Math.max(day.reached(last, CALL) + 6000, moved));
             }
             return told;
@@ -246,7 +255,7 @@
                                         drain);
                                 Play play = new Play(day);
                                 if (play.known > play.told() + GRACE) {
-                                    fail(day + ": known at " + play.known + ", told at " + play.told() + ", silent "
+                                    fail(day + ": drain applied at " + play.known + ", known at " + play.told() + ", silent "
                                             + play.silent);
                                 }
                                 most[0]++;
@@ -257,7 +266,7 @@
                 }
             }
         }
-        assertTrue(most[0] == 102_400, most[0] + " days");
-        assertTrue(most[1] < (pushed ? 200 : 30), most[1] + " calls on one day");
+        assertTrue(most[0] == 102_400, most[0] + " scenarios");
+        assertTrue(most[1] < (pushed ? 200 : 30), most[1] + " calls in one scenario");
     }
 }
--- a/src/test/java/copperbeam/membership/TroubleOrdersTest.java
+++ b/src/test/java/copperbeam/membership/TroubleOrdersTest.java
@@ -25,22 +25,22 @@
 import org.testng.annotations.Test;
 
 /**
- * The watch through every order of what can become of a call, in virtual time (ms): the first calls of an outage meet
- * one trouble each, and just after the last of them began discovery has a drain and answers every new call. That is the
- * worst moment for it to be back: none of the calls out will hear of it.
+ * Simulates the watch in virtual time (ms) over every sequence of call failures: each of the first calls fails in one
+ * way, and right after the last of them began, the list service learns of a drain and answers every new call. That is the
+ * worst moment for its recovery, as none of the open calls will report the drain.
  */
 public class TroubleOrdersTest {
     private static final InetSocketAddress[] AT = {
         new InetSocketAddress("127.0.0.1", 1), new InetSocketAddress("127.0.0.1", 2)
     };
     private static final int ORDER = 5;
-    private static final int OUTAGE = 6; // more refusals than the backoff needs to be at its longest
-    private static final int MACHINE = 150; // of the second in which to act, what actors and sockets may take
+    private static final int OUTAGE = 6; // more refusals than the backoff needs to reach its longest delay
+    private static final int MACHINE = 150; // part of GRACE_MS that actors and sockets may take
     private static final int TOLD = 6000;
     private static final int MOVED = 4000;
     private static final int GRACE = 1000;
 
-    /** {@code after}: ms to its end, NEVER where only the program's own clock ends it. */
+    /** What becomes of a call, and after how many ms; 100,000 if only the watch's own timeout ends it. */
     private enum Trouble {
         REFUSED(0),
         RESET(100),
@@ -50,7 +50,7 @@
         NOT_TAKEN(1),
         LATE(400),
         LATER(1500),
-        NO_CONNECTION(750); // a select interval after WatchPlan.CONNECT
+        NO_CONNECTION(750); // one select interval after WatchPlan.CONNECT_TIMEOUT
 
         final int after;
 
@@ -62,7 +62,7 @@
             return this == LATE || this == LATER;
         }
 
-        /** Nobody can tell it from a call that waits. */
+        /** Whether the failure can be told from a call that waits for a change. */
         boolean says(Ask ask) {
             return ask.hold().compareTo(WatchPlan.BRIEF) <= 0 || after <= 100;
         }
@@ -84,8 +84,8 @@
         int now;
         int order;
         int asked;
-        int back; // when the last of the troubled calls began
-        boolean seen; // that it is trouble
+        int back; // when the last failing call began
+        boolean seen; // whether that call's failure can be told from waiting
         int known = -1;
 
         Play(Trouble[] troubles, boolean pushed, boolean moves, int seed) {
@@ -128,7 +128,7 @@
         void ask(Ask a) {
             out.add(a.call());
             if (moves && a.at().equals(AT[0])) {
-                return; // the old address says nothing more
+                return; // the old address answers no more
             }
             Trouble trouble = asked < troubles.length ? troubles[asked++] : null;
             if (trouble != null) {
@@ -163,7 +163,7 @@
     public void aDrainIsKnownInTimeAfterEveryOrderOfTroubles(boolean pushed, boolean moves) {
         int days = (int) Math.pow(Trouble.values().length, ORDER);
         for (int day = 0; day < 2 * days; day++) {
-            // every other day after a longer outage, in which failures have piled up
+            // every other scenario begins with a longer outage, after which the backoff has grown
             Trouble[] troubles = new Trouble[day % 2 * OUTAGE + ORDER];
             Arrays.fill(troubles, Trouble.REFUSED);
             for (int i = troubles.length - ORDER, rest = day / 2;
@@ -177,13 +177,13 @@
                 by = Math.min(by, Math.max(MOVED, pushed ? play.back : 0) + GRACE - MACHINE);
             }
             if (play.known > by) {
-                fail(Arrays.toString(troubles) + ": back at " + play.back + ", known at " + play.known + ", by " + by);
+                fail(Arrays.toString(troubles) + ": back at " + play.back + ", drain applied at " + play.known + ", limit " + by);
             }
         }
         assertEquals(days, 59_049);
     }
 
-    /** What the doubling is for: an outage of a minute costs a service that may be overrun few calls. */
+    /** The purpose of exponential backoff: in an outage of a minute, a service that may be overloaded gets few calls. */
     @Test
     public void anOutageCostsFewCallsWhereTheListIsAskedFor() {
         for (Trouble trouble : Trouble.values()) {
--- a/src/test/java/copperbeam/membership/WatchPlanTest.java
+++ b/src/test/java/copperbeam/membership/WatchPlanTest.java
@@ -26,8 +26,8 @@
 import org.testng.annotations.Test;
 
 /**
- * The watch against agents that hear of changes at times of their own, over all orders in which the steps of a
- * small script can come: none is sampled.
+ * The watch against agents (addresses of the list service) that learn of changes at different times. All orders of the
+ * steps of a small script are explored, not a sample.
  */
 public class WatchPlanTest {
     private static final InetSocketAddress[] AT = {
@@ -37,10 +37,10 @@
     };
     private static final Duration SHORT_MOST = Duration.ofMillis(100);
     private static final Backoff SHORT = new Backoff(SHORT_MOST, SHORT_MOST, new SplittableRandom(1));
-    /** The registry's versions: a drains and starts again; b stays. */
+    /** Versions of the registry, from which the agents learn: a drains and is launched again; b stays. */
     private static final String[] LISTS = {"a+0 b+0", "a-0 b+0", "a+9 b+0"};
 
-    /** One run of the script so far. */
+    /** State of one run of the script. */
     private static final class World {
         final WatchPlan plan;
         final Map<Integer, Ask> out = new LinkedHashMap<>();
@@ -51,7 +51,7 @@
         int registry;
         int moves;
         int silences;
-        boolean told; // that a drains in its first life
+        boolean told; // an answer has reported the drain of a's first launch
         final int versions;
         final int mostSilences;
 
@@ -88,7 +88,7 @@
                             && a != null
                             && a.member().state() == ServerState.READY
                             && a.member().launchedAt() == 0,
-                    "a is used again though it was told to drain");
+                    "a is used again although its drain was reported");
             for (InetSocketAddress at : AT) {
                 assertTrue(out.values().stream().filter(o -> o.at().equals(at)).count() <= WatchPlan.MOST_CALLS);
             }
@@ -101,7 +101,7 @@
                     .orElse(null);
         }
 
-        /** What can happen next. */
+        /** The steps that can come next. */
         List<String> enabled() {
             List<String> all = new ArrayList<>();
             if (registry + 1 < versions) {
@@ -119,7 +119,7 @@
                 all.add("moves");
             }
             if (moves > 0 && !broken[0]) {
-                all.add("breaks0"); // an old address refuses from then on
+                all.add("breaks0"); // the old address refuses calls from then on
             }
             if (moves > 0 && silences < mostSilences) {
                 all.add("silent");
@@ -171,13 +171,13 @@
                                 .toList());
     }
 
-    /** How many of the registry's versions come, and how often all that is out is silent. */
+    /** How many versions the registry has, how often all timers of open calls run out, and the least number of runs. */
     @DataProvider
     public Object[][] scripts() {
         return new Object[][] {{3, 0, 10_000}, {2, 2, 1000}};
     }
 
-    /** Every order; a run that has nothing left to do must know the registry's last word. */
+    /** Explores every order; a run without further steps must have the registry's latest version. */
     @Test(dataProvider = "scripts")
     public void noDrainIsMissedInAnyOrder(int versions, int silences, int least) {
         int[] runs = new int[1];
@@ -205,7 +205,7 @@
         }
     }
 
-    /** What the old address has written before the new one has answered, and after, is told. */
+    /** A drain reported by the old address before the new one has answered is published, and kept afterwards. */
     @Test
     public void theOldAddressIsHeardUntilTheNewOneHasAnswered() {
         World w = listed();
@@ -223,12 +223,12 @@
         World w = listed();
         w.take(w.plan.move(AT[1]));
         w.take(w.plan.move(AT[2]));
-        assertTrue(w.out.values().stream().noneMatch(a -> a.at().equals(AT[1])), "the address in between is left");
+        assertTrue(w.out.values().stream().noneMatch(a -> a.at().equals(AT[1])), "the address in between is abandoned");
         w.heard[0] = 1;
         w.answer(first(w, 0), 0);
         w.answer(first(w, 2), 2);
         assertEquals(w.user.get("a").member().state(), ServerState.DRAINING);
-        // the old one is left once the new one has been listened to for a while
+        // the old address is abandoned some time after the new one has given its list
         w.wakes.stream()
                 .filter(x -> x.after().equals(WatchPlan.OVERLAP))
                 .toList()
@@ -236,7 +236,7 @@
         assertTrue(w.out.values().stream().allMatch(a -> a.at().equals(AT[2])));
     }
 
-    /** Each refusal is met by one call 50 to 100 ms later, never by two, and a silent call is asked beside itself. */
+    /** Each refusal is followed by one call 50 to 100 ms later, never by two; a silent call gets others beside it. */
     @Test
     public void refusalsAndSilenceAreBoundedInCalls() {
         World w = new World(3, 0);
@@ -256,16 +256,16 @@
             w.take(w.plan.woken(last.token(), Instant.EPOCH));
         }
         assertEquals(w.out.size(), WatchPlan.MOST_CALLS);
-        assertTrue(w.out.containsKey(first.call()), "an address that is only slow is heard out");
+        assertTrue(w.out.containsKey(first.call()), "the call to a slow address is kept");
         w.answer(first, 0);
         assertEquals(w.out.values().stream().map(Ask::from).toList(), List.of(10L));
     }
 
-    /** A service that is overrun is left alone for longer and longer, until it answers; a silent one too. */
+    /** The delay before a retry grows until the service answers, whether it is overloaded or silent. */
     @Test
     public void backoffGrowsWithFailuresAndSilenceWithinTheClock() {
         long most = WatchPlan.PAUSE.toMillis();
-        assertEquals(WatchPlan.PAUSE.plus(WatchPlan.CONNECT).plus(WatchPlan.SILENCE), Duration.ofSeconds(5), "of 6 s");
+        assertEquals(WatchPlan.PAUSE.plus(WatchPlan.CONNECT).plus(WatchPlan.SILENCE), Duration.ofSeconds(5), "of the 6 s allowed");
         World w = new World(3, 0, new Backoff(Duration.ofMillis(500), Duration.ofSeconds(10), new SplittableRandom(7)));
         for (long ms : new long[] {500, 1000, 2000, most, most, most, most}) {
             w.wakes.clear();
@@ -276,16 +276,16 @@
         Wake silent = w.wakes.get(w.wakes.size() - 1);
         assertTrue(
                 between(silent.after().minus(WatchPlan.SILENCE), WatchPlan.PAUSE),
-                "and silence is no reason to ask more");
+                "a silent call is retried no sooner than a failed one");
         w.answer(first(w, 0), 0);
         assertEquals(
-                w.wakes.get(w.wakes.size() - 1).after(), WatchPlan.HOLD.plus(WatchPlan.SILENCE), "all is well again");
+                w.wakes.get(w.wakes.size() - 1).after(), WatchPlan.HOLD.plus(WatchPlan.SILENCE), "an answer resets the backoff");
         w.wakes.clear();
         w.take(w.plan.failed(w.out.remove(first(w, 0).call()).call(), false));
         assertTrue(between(w.wakes.get(0).after(), Duration.ofMillis(500)));
     }
 
-    /** No whole list at a start where one is known, unless discovery no longer takes its version. */
+    /** At a start with a known list, the full list is requested only if the service no longer has the known version. */
     @Test
     public void aStartAsksOnlyForWhatTheKnownListLacks() {
         WatchPlan plan = new WatchPlan(SHORT);
@@ -301,17 +301,20 @@
         Ask next = (Ask) more.stream().filter(Ask.class::isInstance).findFirst().orElseThrow();
         assertEquals(next.from(), 11);
         Wake wake = (Wake) plan.failed(next.call(), true).get(0);
-        assertTrue(((Ask) plan.woken(wake.token(), Instant.EPOCH).get(0)).from() < 0, "the version is not taken");
+        assertTrue(((Ask) plan.woken(wake.token(), Instant.EPOCH).get(0)).from() < 0, "asks for the full list");
     }
 
-    /** Fourteen that begin together, each with a call of 0.5 s of work: all are served, where no pause grew none was. */
+    /**
+     * Fourteen clients start together, each with a call that takes the service 0.5 s. With exponential backoff all are
+     * served; with a constant delay only the first few are.
+     */
     @Test
     public void aServiceOverrunByAFleetRecovers() {
         assertEquals(served(new Backoff(Duration.ofMillis(500), WatchPlan.PAUSE, new SplittableRandom(3))), 14);
-        assertEquals(served(SHORT), 5, "those whose first call waited for less than 2 s, and nobody after them");
+        assertEquals(served(SHORT), 5, "only those whose first call waited for less than 2 s");
     }
 
-    /** A queue in order, whose calls fail after 2 s of waiting and are worked on all the same; how many were served in 60 s. */
+    /** Simulates a FIFO queue whose calls time out after 2 s but are still processed; returns how many succeed in 60 s. */
     private static int served(Backoff backoff) {
         TreeMap<Double, Integer> asks = new TreeMap<>();
         int[] failures = new int[14];
@@ -338,7 +341,7 @@
         return after.compareTo(most.dividedBy(2)) >= 0 && after.compareTo(most) <= 0;
     }
 
-    /** Versions that go back, told whole or as changes. */
+    /** Versions that go back, in a full list or in changes. */
     @Test
     public void anAddressThatForgetsIsAsOneThatLags() {
         World w = listed();
@@ -347,17 +350,17 @@
         Ask a = w.out.remove(first(w, 0).call());
         w.take(w.plan.answered(a.call(), new Listing(3, false, entries("a+0")), Instant.EPOCH));
         assertEquals(
-                w.user.get("a").member().state(), ServerState.DRAINING, "changes against another list say nothing");
+                w.user.get("a").member().state(), ServerState.DRAINING, "changes that refer to another list are ignored");
         Ask whole = w.out.remove(first(w, 0).call());
         assertTrue(whole.from() < 0);
         w.take(w.plan.answered(whole.call(), new Listing(3, true, entries("a+0 b+0")), Instant.EPOCH));
         assertEquals(w.user.get("a").member().state(), ServerState.DRAINING);
-        w.told = false; // by now that address is right, or its drain is 10 s late
+        w.told = false; // after MAX_SOURCE_LAG the address counts as up to date
         List.copyOf(w.wakes).forEach(x -> w.take(w.plan.woken(x.token(), Instant.EPOCH.plus(WatchPlan.CARE))));
-        assertEquals(w.user.get("a").member().state(), ServerState.READY, "but not for good");
+        assertEquals(w.user.get("a").member().state(), ServerState.READY, "its list is accepted after MAX_SOURCE_LAG");
     }
 
-    /** Answers that bring nothing new, at once and for ever: one call each {@code SPACE}, and none waits for longer. */
+    /** An address that always answers at once with nothing new gets one call per {@code MIN_CALL_INTERVAL}. */
     @Test
     public void anAddressThatAnswersAtOnceIsNeitherSpunAtNorLeft() {
         for (Listing nothing : List.of(
@@ -369,7 +372,7 @@
             for (int i = 0; i < 50; i++) {
                 Ask a = w.out.remove(first(w, 0).call());
                 w.take(w.plan.answered(a.call(), nothing, Instant.EPOCH));
-                assertTrue(w.out.isEmpty(), nothing + ": asked at once");
+                assertTrue(w.out.isEmpty(), nothing + ": called again at once");
                 Wake space = w.wakes.stream()
                         .filter(x -> x.after().equals(WatchPlan.SPACE))
                         .reduce((x, y) -> y)
@@ -382,15 +385,15 @@
                     .toList()
                     .forEach(x -> w.take(w.plan.woken(x.token(), Instant.EPOCH)));
             w.take(w.plan.answered(held.call(), nothing, Instant.EPOCH));
-            assertEquals(w.out.size(), 1, "one that has waited is followed at once");
+            assertEquals(w.out.size(), 1, "a call that has waited is followed at once");
         }
         World w = listed();
         Ask a = w.out.remove(first(w, 0).call());
         w.take(w.plan.answered(a.call(), new Listing(11, false, entries("a-0")), Instant.EPOCH));
-        assertEquals(w.out.size(), 1, "news are followed at once");
+        assertEquals(w.out.size(), 1, "an answer with changes is followed at once");
     }
 
-    /** An empty first list, after a move and at a start that knows of servers, is asked for anew until it is believed. */
+    /** After an empty first list, at a move or at a start that expects servers, the full list is requested again. */
     @Test
     public void anAddressThatHasHeardOfNobodyIsAskedForItsWholeListAgain() {
         for (boolean start : new boolean[] {false, true}) {
@@ -401,11 +404,11 @@
             }
             Ask first = w.out.remove(first(w, at).call());
             w.take(w.plan.answered(first.call(), new Listing(1, true, List.of()), Instant.EPOCH));
-            assertEquals(w.user.size(), start ? 0 : 2, "nothing is told");
+            assertEquals(w.user.size(), start ? 0 : 2, "nothing is published");
             assertEquals(w.plan.listed(), false);
             List.copyOf(w.wakes).forEach(x -> w.take(w.plan.woken(x.token(), Instant.EPOCH)));
             Ask again = w.out.remove(first(w, at).call());
-            assertTrue(again.from() < 0, "changes would leave out who has left");
+            assertTrue(again.from() < 0, "changes would omit servers already gone");
             w.take(w.plan.answered(again.call(), new Listing(2, true, entries("a+0")), Instant.EPOCH));
             assertEquals(w.user.keySet(), java.util.Set.of("a"));
         }
@@ -415,7 +418,7 @@
             w.take(w.plan.answered(w.out.remove(first(w, 0).call()).call(), new Listing(1, true, List.of()), now));
             List.copyOf(w.wakes).forEach(x -> w.take(w.plan.woken(x.token(), now)));
         }
-        assertTrue(w.plan.listed(), "told for so long it is true");
+        assertTrue(w.plan.listed(), "an empty list is accepted after MAX_SOURCE_LAG");
     }
 
     private static World listed() {
