--- a/src/main/java/copperbeam/transport/Acceptor.java
+++ b/src/main/java/copperbeam/transport/Acceptor.java
@@ -18,16 +18,16 @@
 import org.apache.hc.core5.reactor.DefaultListeningIOReactor;
 
 /**
- * Takes connections at one address, on a thread of its own, and hands them to HttpCore's reactor. HttpCore's own
- * listener can't share an address between processes, ends for good when one connection can't be taken, and closes
- * with connections unread in the kernel's queue, which resets them; this one takes what is there before it closes.
+ * Accepts connections at one address, on a thread of its own, and hands them to HttpCore's reactor. HttpCore's own
+ * listener can't share an address between processes, ends for good when one accept fails, and closes with connections
+ * still in the kernel's listen queue, which resets them; this class accepts those first.
  */
 final class Acceptor {
     private static final Logger LOG = Logger.getLogger(Acceptor.class.getName());
     private static final int BACKLOG = 512;
     private static final Duration TICK = Duration.ofMillis(200);
-    private static final Duration SOON = Duration.ofMillis(1); // for the taker to take some
-    private static final Duration AGAIN = Duration.ofMillis(20); // after a connection that could not be taken
+    private static final Duration SOON = Duration.ofMillis(1); // while no connection may be accepted
+    private static final Duration AGAIN = Duration.ofMillis(20); // after a failed accept
 
     private final ServerSocketChannel listener;
     private final Selector selector;
@@ -39,15 +39,15 @@
     private volatile boolean abandoned;
     private volatile boolean ended;
 
-    /** Who serves the connections. */
+    /** Receives the accepted connections. */
     interface Taker {
-        /** {@code queuedSince}: the connection may have waited in the kernel's queue from then on, with a request sent. */
+        /** {@code queuedSince}: the earliest time from which the connection and its request may have waited in the kernel's queue. */
         void take(SocketChannel channel, Instant queuedSince);
     }
 
     /**
-     * {@code shared}: another process may listen at the same address beside this one; {@code takes}: whether the taker
-     * can take one more, else clients wait in the kernel's queue.
+     * {@code shared}: another process may listen at the same address; {@code mayAccept}: whether one more connection may be
+     * accepted, otherwise clients wait in the kernel's queue.
      */
     Acceptor(InetSocketAddress at, boolean shared, Clock clock, BooleanSupplier takes, Taker taker) throws IOException {
         this.takes = takes;
@@ -74,15 +74,15 @@
     }
 
     /**
-     * The JDK asks the system once, as its first socket is made, whether an address can be shared, and a call that failed then counts
-     * as no for the process's life. Alone at the address this one serves all the same; beside another it is told that it is taken.
+     * Sets SO_REUSEPORT. The JDK checks only once, at its first socket, whether the system supports it, and a check that failed
+     * counts as "no" for the life of the process. Then this process can still listen alone, but fails to bind beside another one.
      */
     private void share() throws IOException {
         if (listener.supportedOptions().contains(StandardSocketOptions.SO_REUSEPORT)) {
             listener.setOption(StandardSocketOptions.SO_REUSEPORT, true);
         } else {
             LOG.warning(
-                    "the system did not say at the start that an address can be shared: this process listens alone");
+                    "SO_REUSEPORT was not available when this process started: no other process can listen at the address");
         }
     }
 
@@ -90,24 +90,24 @@
         return address;
     }
 
-    /** What the kernel has taken by now is still handed on; then the address is given up. */
+    /** Stops listening, once the connections in the kernel's queue are accepted. */
     void close() {
         closing = true;
         selector.wakeup();
     }
 
-    /** The address is given up at once: who would take what the kernel still has takes nothing any more. */
+    /** Stops listening at once, although connections may be in the kernel's queue; for when the receiver takes no more. */
     void abandon() {
         abandoned = true;
         close();
     }
 
-    /** Whether the address is to be given up. */
+    /** Whether the listening socket is closed or being closed. */
     boolean closing() {
         return closing;
     }
 
-    /** Whether the address is given up. */
+    /** Whether the listening socket is closed. */
     boolean ended() {
         return ended;
     }
@@ -118,7 +118,7 @@
         while (selector.isOpen() || left && !abandoned) {
             try {
                 if (closing) {
-                    selector.close(); // before the listener, which the kernel else deals connections to after its close
+                    selector.close(); // first: a listener that is still registered stays open and gets connections
                 } else {
                     selector.select(TICK.toMillis());
                     selector.selectedKeys().clear();
@@ -126,16 +126,16 @@
                 queueAge.filled();
                 left = take();
                 if (missed > 0 && !left) {
-                    LOG.warning("no connection could be taken, tried " + missed + " times");
+                    LOG.warning("accepting connections failed " + missed + " times, and works again");
                     missed = 0;
                 }
             } catch (IOException e) {
-                // no descriptor is left for a moment: clients wait in the kernel's queue, and nothing is said of it
-                // before one is free, as the log itself may want one
+                // probably out of descriptors: clients wait in the kernel's queue, and the failure is logged only once
+                // one is free, as logging itself may need one
                 missed++;
                 pause(AGAIN);
-            } catch (RuntimeException | Error e) { // would end the thread, and nobody be taken any more
-                LOG.log(Level.SEVERE, "a connection could not be taken", e);
+            } catch (RuntimeException | Error e) { // uncaught, it would end the thread, and no connection would be accepted any more
+                LOG.log(Level.SEVERE, "accepting a connection failed unexpectedly", e);
                 pause(AGAIN);
             }
         }
@@ -143,12 +143,12 @@
         try {
             listener.close();
         } catch (IOException e) {
-            LOG.fine(() -> "the listener's end: " + e);
+            LOG.fine(() -> "closing the listener failed: " + e);
         }
         ended = true;
     }
 
-    /** Whether some may be left that could not be taken. */
+    /** Accepts while it may; returns whether connections may be left in the queue. */
     private boolean take() throws IOException {
         while (takes.getAsBoolean()) {
             SocketChannel next = listener.accept();
@@ -180,7 +180,7 @@
         }
     }
 
-    /** The way into HttpCore's reactor for connections that it has not taken itself; HttpCore has no public one. */
+    /** Hands accepted connections to HttpCore's reactor, by reflection as HttpCore has no public method for it. */
     static final class Entrance {
         private static final Constructor<?> ENTRY;
         private static final Method ENQUEUE;
@@ -199,18 +199,18 @@
 
         private Entrance() {}
 
-        /** False where the reactor takes none any more; the connection is closed then. The instant is its attachment. */
+        /** Hands over a connection with {@code queuedSince} attached. If that fails, closes the connection and returns false. */
         static boolean enter(DefaultListeningIOReactor reactor, SocketChannel channel, Instant queuedSince) {
             try {
                 channel.configureBlocking(false);
                 ENQUEUE.invoke(reactor, ENTRY.newInstance(channel, queuedSince));
                 return true;
             } catch (ReflectiveOperationException | IOException e) {
-                LOG.warning("a connection could not be handed on: " + e);
+                LOG.warning("a connection could not be handed to the reactor: " + e);
                 try {
                     channel.close();
                 } catch (IOException closed) {
-                    LOG.finest("it was closed");
+                    LOG.finest("closing the connection failed");
                 }
                 return false;
             }
--- a/src/main/java/copperbeam/transport/AdminServer.java
+++ b/src/main/java/copperbeam/transport/AdminServer.java
@@ -20,21 +20,21 @@
 import java.util.logging.Logger;
 
 /**
- * A listener for callers that say one line and are told some in return, on one thread of its own. Bounded in callers,
- * bytes and time: who says nothing costs a caller's place for {@link #PATIENCE} at most, and goes first where places
- * are short.
+ * The listener for operators: a caller sends a command of one line and gets a text in return. Runs on one thread of its
+ * own, with limits on callers, bytes and time: a silent caller is disconnected after {@code CALL_TIMEOUT}, or earlier
+ * when the limit on callers is reached.
  */
 public final class AdminServer implements AutoCloseable {
-    /** Takes a line, on the door's thread; {@code reply} from any thread, once. */
+    /** Called with each line, on the listener's thread; {@code reply} may be called from any thread, once. */
     public interface CommandHandler {
         void call(String line, Consumer<String> reply);
     }
 
     static final int MOST_CALLERS = 64;
     static final int MOST_LINE = 256;
-    static final Duration PATIENCE = Duration.ofSeconds(6); // from a caller's connect to its answer taken
+    static final Duration PATIENCE = Duration.ofSeconds(6); // from a caller's connect until its reply is written
     private static final Duration TICK = Duration.ofMillis(250);
-    private static final Duration AGAIN = Duration.ofMillis(20); // after a failure
+    private static final Duration AGAIN = Duration.ofMillis(20); // after a failure, before the next attempt
     private static final Logger LOG = Logger.getLogger(AdminServer.class.getName());
 
     private static final class Caller {
@@ -63,9 +63,9 @@
     private final Queue<Reply> replies = new ConcurrentLinkedQueue<>();
     private final Thread thread;
     private volatile boolean closed;
-    private boolean refused; // the last caller could not be taken, which the log has
+    private boolean refused; // the last accept failed, and this was logged
 
-    /** Listens from now on. */
+    /** Binds the address and starts the listener's thread. */
     public AdminServer(InetSocketAddress at, Clock clock, CommandHandler handler) throws IOException {
         this.clock = clock;
         this.handler = handler;
@@ -109,10 +109,10 @@
                 }
                 dismiss(clock.instant().minus(PATIENCE));
             } catch (IOException | RuntimeException | Error e) {
-                // one faulty call must not close the door on all others, nor an Error, as a JVM without descriptors
-                // throws
+                // neither a faulty call nor an Error (which the JVM throws when out of descriptors) may end the listener
+                // for all other callers
                 if (!closed) {
-                    LOG.log(Level.WARNING, "the door goes on after a failure", e);
+                    LOG.log(Level.WARNING, "the admin listener continues after a failure", e);
                     pause();
                 }
             }
@@ -138,14 +138,14 @@
         } catch (IOException e) {
             if (!refused) {
                 refused = true;
-                LOG.warning("the door could not take a caller: " + e);
+                LOG.warning("the admin listener could not accept a caller: " + e);
             }
-            dismiss(clock.instant().minus(PATIENCE.dividedBy(2))); // no descriptor may be left
+            dismiss(clock.instant().minus(PATIENCE.dividedBy(2))); // the process may be out of descriptors
             pause();
         }
     }
 
-    /** Guards against a thread that does nothing but fail: who could not be taken is there at the next select too. */
+    /** Avoids a busy loop: a connection that could not be accepted makes the next select return at once. */
     private static void pause() {
         try {
             Thread.sleep(AGAIN.toMillis());
@@ -156,8 +156,8 @@
 
     private void turn(Caller c) {
         try {
-            // a key stays readable as it was last selected: with its answer at hand the call would be made again,
-            // and undo what was said at another process's door since
+            // a key stays marked as readable from its last select: without the check the command would run again when its
+            // reply comes, and undo what was since set through another process
             if (!c.called && c.key.isValid() && c.key.isReadable()) {
                 read(c);
             }
@@ -170,7 +170,7 @@
                 }
             }
         } catch (IOException | RuntimeException e) {
-            end(c); // the caller has gone
+            end(c); // the caller has disconnected
         }
     }
 
@@ -205,7 +205,7 @@
         try {
             c.channel.close();
         } catch (IOException e) {
-            LOG.finest("a caller had gone");
+            LOG.finest("closing a caller's connection failed");
         }
     }
 
--- a/src/main/java/copperbeam/transport/BoundedParser.java
+++ b/src/main/java/copperbeam/transport/BoundedParser.java
@@ -18,13 +18,12 @@
 import org.apache.hc.core5.util.CharArrayBuffer;
 
 /**
- * HttpCore's parser of heads with what it leaves open: a bound on the whole head, an end that is none, and
- * lengths that contradict each other. Guards against heads without end that fill the memory, half a head taken
- * for a whole one, and a second request hidden in the body of the first.
+ * Adds checks to HttpCore's parser of message heads: a limit on the size of the whole head (against memory exhaustion),
+ * no truncated head taken for a complete one, and no contradictory body lengths (against request smuggling).
  */
 final class BoundedParser<T extends HttpMessage> implements NHttpMessageParser<T> {
     static final int MOST_HEAD = 16 * 1024;
-    /** Of all heads, read and written: as the settings' names. Else HttpCore takes each byte for a character. */
+    /** UTF-8 for all heads, read and written, as names in the settings are; HttpCore's default is one byte a character. */
     static final CharCodingConfig CODING = CharCodingConfig.custom()
             .setCharset(StandardCharsets.UTF_8)
             .setMalformedInputAction(CodingErrorAction.REPLACE)
@@ -35,17 +34,17 @@
 
     private final NHttpMessageParser<T> parser;
     private final boolean strict;
-    private int read; // bytes of whole lines of the head under way
+    private int read; // bytes of the complete lines of the current head
     private boolean blank; // the last line read was empty
     private volatile boolean partial;
 
-    /** {@code strict}: the sender must be clear about its body's length, as requests have to be. */
+    /** {@code strict}: also checks the body's length and the characters of the head, as needed for requests. */
     BoundedParser(NHttpMessageParser<T> parser, boolean strict) {
         this.parser = parser;
         this.strict = strict;
     }
 
-    /** A head has begun and is not whole. */
+    /** Whether a head has begun and is not complete. */
     boolean partial() {
         return partial;
     }
@@ -88,7 +87,7 @@
         }
     }
 
-    /** Guards against what HttpCore would pass on as something else: a control character as a space or a question mark. */
+    /** Rejects control characters, which HttpCore would forward as a space or a question mark. */
     private static void text(HttpMessage head) throws HttpException {
         if (head instanceof HttpRequest request
                 && !request.getRequestUri().chars().allMatch(c -> c > 32 && c < 127)) {
@@ -101,7 +100,7 @@
         }
     }
 
-    /** Counts what the parser reads. */
+    /** Counts the bytes of the lines that the parser reads. */
     private final class Lines extends BufferView {
         Lines(SessionInputBuffer buffer) {
             super(buffer);
@@ -113,7 +112,7 @@
             boolean whole = super.readLine(line, endOfStream);
             if (whole) {
                 blank = line.isEmpty();
-                // some clients send an empty line behind a body, which begins no head; HttpCore takes only a few
+                // an empty line that some clients send after a body begins no head; HttpCore accepts only a few of them
                 read += blank && read == 0 ? 0 : before - length();
             }
             return whole;
--- a/src/main/java/copperbeam/transport/BufferView.java
+++ b/src/main/java/copperbeam/transport/BufferView.java
@@ -7,7 +7,7 @@
 import org.apache.hc.core5.http.nio.SessionInputBuffer;
 import org.apache.hc.core5.util.CharArrayBuffer;
 
-/** A connection's input buffer as a reader sees it whose lines are looked at. */
+/** Delegates to a connection's input buffer; subclasses override methods to observe what is read. */
 abstract class BufferView implements SessionInputBuffer {
     private final SessionInputBuffer buffer;
 
--- a/src/main/java/copperbeam/transport/Chunks.java
+++ b/src/main/java/copperbeam/transport/Chunks.java
@@ -14,11 +14,11 @@
 import org.apache.hc.core5.http.nio.SessionInputBuffer;
 import org.apache.hc.core5.util.CharArrayBuffer;
 
-/** HttpCore's reader of chunks with what it leaves open. */
+/** Decodes chunked bodies with HttpCore's decoder, and adds limits and checks that it lacks. */
 final class Chunks {
     private Chunks() {}
 
-    /** {@code most}: no chunk is larger. */
+    /** {@code maxChunkBytes}: a larger chunk is an error. */
     static Decoder decoder(
             ReadableByteChannel channel,
             SessionInputBuffer buffer,
@@ -30,8 +30,9 @@
     }
 
     /**
-     * What one connection may be read on one turn of its reactor; what remains is read on the next. Guards against a
-     * sender that holds up all others, and the window besides: HttpCore reads chunks for as long as there are any.
+     * Limits the bytes that are read from one connection in one turn of its reactor; the rest is read in the next turn.
+     * HttpCore would read chunks for as long as there are any, so that a fast sender could block all other connections and
+     * exceed its receive window.
      */
     static final class Turn {
         private final int most;
@@ -46,18 +47,18 @@
             left = most;
         }
 
-        /** More may be at hand than was read. */
+        /** Whether the limit was reached, so that more input may be available. */
         boolean spent() {
             return left <= 0;
         }
     }
 
     /**
-     * Looks at each line that tells a chunk's size. Guards against sizes with a sign, on which HttpCore reads
-     * its buffer backwards, and against chunks of gigabytes.
+     * Checks each chunk-size line. Rejects sizes with a sign, with which HttpCore would read its buffer backwards, and chunks
+     * of gigabytes.
      */
     private static final class Sizes extends BufferView {
-        private static final Pattern SIZE = Pattern.compile("[0-9a-fA-F]{1,15}"); // one for each event of a stream
+        private static final Pattern SIZE = Pattern.compile("[0-9a-fA-F]{1,15}"); // compiled once, as it is used for each event of a stream
         private final int most;
         private final Turn turn;
         private boolean last;
@@ -91,19 +92,19 @@
             int extension = line.indexOf(';');
             String digits = (extension < 0 ? line : line.substring(0, extension)).strip();
             if (!SIZE.matcher(digits).matches()) {
-                throw new MalformedChunkCodingException("a chunk's size that is none");
+                throw new MalformedChunkCodingException("malformed chunk size");
             }
             long size = Long.parseLong(digits, 16);
             if (size > most) {
-                throw new MalformedChunkCodingException("a chunk of " + size + " bytes");
+                throw new MalformedChunkCodingException("chunk too large: " + size + " bytes");
             }
             return size;
         }
     }
 
     /**
-     * Hands on what was read before it tells what is wrong behind it. Guards against an event lost beside a
-     * break: HttpCore's decoder throws away a whole chunk in hand with the bad news.
+     * Delivers all data that was read before an error, and throws the error afterwards. HttpCore's decoder throws at once and
+     * loses the chunk it has just read, and with it an event of the stream.
      */
     static final class Decoder implements ContentDecoder {
         private final ChunkDecoder chunks;
@@ -113,7 +114,7 @@
             this.chunks = chunks;
         }
 
-        /** What is wrong behind all that was handed on, or null; thrown too where more is asked for. */
+        /** The error that follows the delivered data, or null; the next {@link #read} throws it as well. */
         IOException late() {
             return late;
         }
--- a/src/main/java/copperbeam/transport/ClientExchange.java
+++ b/src/main/java/copperbeam/transport/ClientExchange.java
@@ -22,12 +22,15 @@
 import org.apache.hc.core5.http.nio.RequestChannel;
 import org.apache.hc.core5.http.protocol.HttpContext;
 
-/** One request out and its answer back. Runs on the reactor's thread but for {@link #grant}. */
+/**
+ * Sends one request and receives its response. Runs on the reactor's thread, except for {@link #grant} and
+ * {@link #sendLastByte}, which may be called from any thread.
+ */
 abstract class ClientExchange implements AsyncClientExchangeHandler {
-    private static final int WINDOW = 65_535; // HttpCore's, until more is granted
+    private static final int WINDOW = 65_535; // HttpCore's initial receive window
 
     private static final int MOST_GATHERED = 4096;
-    private static final int MOST_INFORMATIONAL = 8; // heads before an answer
+    private static final int MOST_INFORMATIONAL = 8; // 1xx heads before the response
 
     private final ByteArrayOutputStream gathered = new ByteArrayOutputStream(0);
     private final HttpRequest request;
@@ -35,16 +38,16 @@
     private final boolean hold;
     private volatile boolean let;
     private volatile DataStreamChannel output;
-    private boolean told; // that only the last byte is left
+    private boolean told; // lastByteHeld was called
     private final AtomicInteger owed = new AtomicInteger();
     private volatile CapacityChannel capacity;
-    private volatile boolean written; // the last byte is HttpCore's, that may still have it
-    private boolean left; // and the system has it
+    private volatile boolean written; // HttpCore has the last byte, and may still buffer it
+    private boolean left; // the operating system has taken it
     private BooleanSupplier buffered = () -> false;
     private int informational;
     private boolean reusedConnection;
-    private boolean answeredEarly; // its answer began before its last byte had left
-    private final AtomicInteger held = new AtomicInteger(); // taken in and not granted again
+    private boolean answeredEarly; // the response began before the last byte was sent
+    private final AtomicInteger held = new AtomicInteger(); // received, but not granted again yet
     private volatile boolean over;
     private boolean whole;
     private boolean closing;
@@ -55,62 +58,68 @@
         this(request, body, false);
     }
 
-    /** {@code hold}: the last byte stays here until {@link #let}; a body of none can't be held. */
+    /** {@code holdLastByte}: hold back the last byte of the body until {@link #sendLastByte}; no effect without a body. */
     ClientExchange(HttpRequest request, byte[] body, boolean hold) {
         this.request = request;
         this.hold = hold;
         this.body = body == null ? null : ByteBuffer.wrap(body);
     }
 
-    /** Whether the head may still be written. */
+    /** Whether the head may still be sent. */
     boolean mayBegin() {
         return true;
     }
 
-    /** The head is about to be written. */
+    /** Called just before the head is sent, to set headers that depend on the time. */
     void leaves(HttpRequest head) {}
 
     abstract void head(HttpResponse response) throws HttpException;
 
-    /** The bytes are to be granted again once they are used up. */
+    /** Receives a part of the response body. The receiver must {@link #grant} the bytes once it has processed them. */
     abstract void data(ByteBuffer bytes) throws IOException;
 
     abstract void whole(boolean reusable);
 
-    /** {@code mayHaveRun}: the system took the last byte, or nobody knows. */
+    /**
+     * The exchange ended before the response was complete. {@code mayHaveRun}: the last byte of the request was handed to the
+     * operating system, or may have been.
+     */
     abstract void broken(boolean mayHaveRun);
 
-    /** Whether the last byte may still leave. */
+    /** Whether the last byte may still be sent. */
     boolean wanted() {
         return true;
     }
 
-    /** The system took the last byte of a body. */
+    /** The operating system has taken the last byte of the body. */
     void sent() {}
 
-    /** The system took all but the last byte. */
+    /** The operating system has taken all but the last byte, which is held back. */
     void held() {}
 
     /**
-     * {@code buffered}: of what was written on the connection the system has not taken the end. {@code reused}: the
-     * connection has carried a call before.
+     * Attaches the exchange to a connection. {@code hasBufferedOutput}: whether HttpCore buffers output that the operating
+     * system hasn't taken yet. {@code reused}: the connection has carried a call before.
      */
     final void on(BooleanSupplier buffered, boolean reused) {
         this.buffered = buffered;
         reusedConnection = reused;
     }
 
-    /** Nothing more of the request may leave: its outcome is settled by the answer that came before its last byte. */
+    /**
+     * Whether the response began before the last byte was sent. That response decides the outcome, so nothing more of the
+     * request may be sent.
+     */
     final boolean answeredEarly() {
         return answeredEarly;
     }
 
-    /** The byte that was held back is the next to be handed to the system. */
+    /** Whether the last byte, which was held back, is now in HttpCore's buffer and would be sent next. */
     final boolean aboutToGo() {
         return hold && lastByteHere();
     }
 
-    /** The last byte may leave with the next turn and must not. */
+    /** Whether the last byte is in HttpCore's buffer but must no longer be sent. */
     final boolean unwanted() {
         return lastByteHere() && !wanted();
     }
@@ -119,7 +128,7 @@
         return written && !over && buffered.getAsBoolean();
     }
 
-    /** After each turn of output. */
+    /** Called after each turn in which output may have been written. */
     final void wrote() {
         if (body != null && written && !left && !over && !buffered.getAsBoolean()) {
             left = true;
@@ -127,7 +136,7 @@
         }
     }
 
-    /** Keeps the beginning of a short answer. */
+    /** Keeps the first {@link #MAX_GATHERED_BYTES} of a short response body. */
     final void gather(ByteBuffer bytes) {
         grant(bytes.remaining());
         byte[] next = new byte[Math.min(bytes.remaining(), MOST_GATHERED - gathered.size())];
@@ -140,7 +149,7 @@
         return gathered.toString(StandardCharsets.US_ASCII);
     }
 
-    /** From any thread: the last byte may go. */
+    /** Allows the last byte to be sent; callable from any thread. */
     final void let() {
         let = true;
         DataStreamChannel channel = output;
@@ -149,7 +158,7 @@
         }
     }
 
-    /** The other side has sent about all that it may: who should take it is slow. */
+    /** Whether the receive window is about used up, because the receiver of the data is slow. */
     final boolean windowUsed() {
         return held.get() > WINDOW / 2;
     }
@@ -162,7 +171,7 @@
             try {
                 channel.update(owed.getAndSet(0));
             } catch (IOException e) {
-                // the connection is gone, which the exchange hears of by itself
+                // the connection is closed, of which the exchange is notified separately
             }
         }
     }
@@ -170,9 +179,9 @@
     @Override
     public final void produceRequest(RequestChannel channel, HttpContext context) throws HttpException, IOException {
         if (!mayBegin()) {
-            throw new IOException("this call may not begin any more"); // ends the connection, with nothing written
+            throw new IOException("the request may no longer be sent"); // closes the connection before anything is sent
         }
-        // set before the last byte can leave: what is not known to have stayed may have run
+        // set before the last byte can be sent: unless it is known to be unsent, the request may have run
         written = body == null;
         leaves(request);
         channel.sendRequest(request, body == null ? null : new BasicEntityDetails(body.remaining(), null), context);
@@ -192,7 +201,7 @@
         int kept = kept();
         if (kept == 0 && !wanted()) {
             throw new IOException(
-                    "nobody waits for this call any more"); // ends the connection, the last byte on this side
+                    "the last byte of the request may no longer be sent"); // closes the connection, the byte unsent
         }
         if (body.remaining() > kept) {
             body.limit(body.limit() - kept);
@@ -206,7 +215,7 @@
             written = true;
             channel.endStream(null);
         } else if (kept == body.remaining() && !told && !buffered.getAsBoolean()) {
-            told = true; // not while HttpCore has the rest: its time on the way would be taken from the hold
+            told = true; // only once HttpCore's buffer is empty: the hold must not include the time to send the rest
             held();
         }
     }
@@ -215,7 +224,7 @@
         return hold && !let ? Math.min(1, body.remaining()) : 0;
     }
 
-    /** Guards against a server that never comes to its answer: behind a switch of protocols, or heads without end. */
+    /** Rejects a switch of protocols and an endless sequence of 1xx heads, after which no response would come. */
     @Override
     public final void consumeInformation(HttpResponse response, HttpContext context) throws HttpException {
         if (response.getCode() == HttpStatus.SC_SWITCHING_PROTOCOLS || ++informational > MOST_INFORMATIONAL) {
@@ -228,8 +237,8 @@
             throws HttpException {
         if (body != null && (!written || buffered.getAsBoolean())) {
             if (reusedConnection) {
-                // no server can have begun this request: what comes belongs to the call before, such as a second answer
-                throw new ProtocolException("an answer to an earlier call");
+                // no server can have started this request, so this belongs to the previous one: a second response to it
+                throw new ProtocolException("response to an earlier request on this connection");
             }
             answeredEarly = true;
         }
@@ -243,7 +252,7 @@
 
     @Override
     public final void updateCapacity(CapacityChannel channel) {
-        // comes only once the window is used up; what was granted before it must not be lost, or the stream stalls
+        // Called only when the window is used up. Bytes granted before must be passed on now, or the stream stalls.
         capacity = channel;
         grant(0);
     }
@@ -266,7 +275,7 @@
         }
     }
 
-    /** Of its break, where one is known. */
+    /** Why the exchange failed, or null if unknown. */
     final Exception cause() {
         return cause;
     }
@@ -275,7 +284,7 @@
         return over;
     }
 
-    /** After the last byte at hand was read; {@code open}: the connection lives on. */
+    /** Reports a complete response, once all available input was read. {@code connectionOpen}: the connection is still open. */
     final void settle(boolean open) {
         if (whole) {
             whole(open && !closing && !answeredEarly);
@@ -285,9 +294,9 @@
     @Override
     public final void failed(Exception cause) {
         this.cause = this.cause == null ? cause : this.cause;
-        // that it never began is told on the caller's thread too, which must not look into a buffer of the reactor's
+        // RequestNotExecutedException may come on the caller's thread, which must not access the buffer of the reactor's thread.
         boolean never = cause instanceof RequestNotExecutedException;
-        // what HttpCore still has at the end, the request's last byte among it, has never left
+        // Output that HttpCore still buffers now, which includes the last byte of the request, was never sent.
         fail(() -> written && (never || !buffered.getAsBoolean()));
     }
 
--- a/src/main/java/copperbeam/transport/ClientReactor.java
+++ b/src/main/java/copperbeam/transport/ClientReactor.java
@@ -47,18 +47,18 @@
 import org.apache.hc.core5.util.Timeout;
 
 /**
- * Outgoing HTTP/1.1 connections, one exchange at a time on each. Sends nothing twice: it knows no retry. What
- * comes back is bounded: heads in size and in time, chunks in size.
+ * Opens outgoing HTTP/1.1 connections and runs one exchange at a time on each. Never sends a request twice, as it doesn't
+ * retry. Responses are bounded: heads in size and time, chunks in size.
  */
 public final class ClientReactor implements AutoCloseable {
-    /** Told of one connection's life; {@code down} comes once, also for one that never came up. */
+    /** Notified about one connection; {@code closed} is called once, also if the connection was never established. */
     interface Life {
         void up(IOSession session);
 
         void down();
     }
 
-    /** Counts the connection, and keeps what fails in the one who is told from the reactor: an Error would end it. */
+    /** Counts the connection, and keeps Errors of the wrapped listener from the reactor's thread, which they would end. */
     private final class CountedLife implements Life {
         private final Life life;
         private final AtomicBoolean counted = new AtomicBoolean(true);
@@ -92,9 +92,9 @@
     }
 
     private static final int MOST_CHUNK = 1 << 20;
-    private static final int MOST_A_TURN = 64 * 1024; // bytes read from one connection; a window
-    private static final int MOST_TURNS_READ_OUT = 16;
-    private static final Duration HEAD_TIME = Duration.ofMillis(800); // servers write a head in one piece
+    private static final int MOST_A_TURN = 64 * 1024; // per connection; the size of one receive window
+    private static final int MOST_TURNS_READ_OUT = 16; // of MAX_READ_BYTES_PER_TURN each, before the task of runAfterReading runs
+    private static final Duration HEAD_TIME = Duration.ofMillis(800); // from a head's first byte to its last; servers send it in one piece
     private static final Http1Config CONFIG = Http1Config.custom()
             .setBufferSize(4096)
             .setMaxLineLength(8 * 1024)
@@ -104,10 +104,10 @@
             .addAll(new RequestTargetHost(), new RequestContent(), new RequestConnControl())
             .build();
 
-    // beyond its own time, in which HttpCore ends a connect by itself while the wall clock does not step
+    // How long after its timeout a connect is cancelled here. HttpCore ends it at its timeout unless the clock steps.
     private static final Duration CONNECT_GRACE = Duration.ofMillis(500);
 
-    /** {@code due}: of System.nanoTime. */
+    /** A connect under way. {@code deadlineNanos}: on the clock of System.nanoTime. */
     private record Pending(Future<IOSession> connect, long due) {}
 
     private final DefaultConnectingIOReactor reactor;
@@ -178,8 +178,8 @@
         }
 
         /**
-         * Small bodies and the ends of large ones go into HttpCore's buffer and from there to the system on a later
-         * turn. A write that fails takes nothing out of it, and it is emptied from its front.
+         * Whether HttpCore still buffers output. It buffers small bodies and the ends of large ones, and writes them to the
+         * socket on a later turn. The buffer is emptied from its front, and a failed write removes nothing from it.
          */
         boolean buffered() {
             return output != null && output.hasData();
@@ -190,7 +190,10 @@
         }
     }
 
-    /** One connection's events; all but {@link #begin} on the reactor's thread. */
+    /**
+     * Handles one connection's events on the reactor's thread. Only {@link #startExchange} and {@link #runAfterReading} are
+     * called from other threads.
+     */
     static final class Handler extends ClientHttp1IOEventHandler {
         private final Duplexer duplexer;
         private final BoundedParser<HttpResponse> parser;
@@ -198,10 +201,10 @@
         private final Life life;
         private volatile ClientExchange exchange;
         private final AtomicReference<Runnable> readOut = new AtomicReference<>();
-        private Long headSince; // of System.nanoTime; null where no head is half here
+        private Long headSince; // System.nanoTime when a partial head was first seen; null if there is none
         private Timeout usual;
         private boolean down;
-        private boolean used; // by an earlier call
+        private boolean used; // the connection has carried a call before
 
         Handler(Duplexer duplexer, BoundedParser<HttpResponse> parser, ProtocolIOSession session, Life life) {
             super(duplexer);
@@ -217,10 +220,10 @@
             exchange = next;
         }
 
-        /** From any thread. */
+        /** Runs the task as {@link ClientReactor#runAfterReading} says; callable from any thread. */
         void readOut(Runnable then) {
             readOut.set(then);
-            session.setEvent(SelectionKey.OP_WRITE); // whose turn comes after that of what can be read
+            session.setEvent(SelectionKey.OP_WRITE); // the reactor handles it after pending input
             if (!session.isOpen()) {
                 hasReadOut();
             }
@@ -276,11 +279,11 @@
             }
             ClientExchange current = exchange;
             if (current != null && current.unwanted()) {
-                exception(open, new IOException("nobody waits for this call any more"));
+                exception(open, new IOException("the last byte of the request may no longer be sent"));
                 return;
             }
             if (current != null && current.aboutToGo()) {
-                // what the server said since the select: on a connection that it has ended the byte must stay here
+                // Reads what has arrived since the select: if the server has closed the connection, the byte must stay.
                 inputReady(open, null);
                 if (open.isOpen() && parser.partial()) {
                     unasked(open);
@@ -309,7 +312,7 @@
         @Override
         public void timeout(IOSession open, Timeout timeout) throws IOException {
             if (headSince != null && !headOverdue()) {
-                return; // HttpCore reckons by the wall clock, which may have stepped
+                return; // HttpCore uses the wall clock, which may have stepped
             }
             try {
                 super.timeout(open, timeout);
@@ -330,12 +333,15 @@
             settle();
         }
 
-        /** Guards the next answer on a kept connection: it would be read as the rest of this, and its attempt have failed. */
+        /**
+         * Closes a connection on which a partial head arrived while no response is due. The next response on it would be read
+         * as the rest of that head, and its attempt would fail.
+         */
         private void unasked(IOSession open) {
-            exception(open, new IOException("half a head that no call has asked for"));
+            exception(open, new IOException("partial response head without a request"));
         }
 
-        /** Guards against a head that does not end: its attempt would wait for as long as its client. */
+        /** Enforces the time limit on a response head. Without it an attempt would wait until its client gives up. */
         private void headTime() {
             if (!parser.partial()) {
                 if (headSince != null) {
@@ -347,7 +353,7 @@
                 usual = session.getSocketTimeout();
                 session.setSocketTimeout(Timeout.of(HEAD_TIME));
             } else if (headOverdue()) {
-                exception(session, new IOException("a head that does not end"));
+                exception(session, new IOException("response head not complete in time"));
             }
         }
 
@@ -356,9 +362,9 @@
         }
 
         /**
-         * Tells of what has ended only now that all input at hand is read: more than the answer makes HttpCore
-         * close the connection, which must not be used again. A connection closed by a reset is not told of by
-         * HttpCore, so that it is looked for here.
+         * Reports an exchange or a connection that has ended. Called only after all available input was read, because HttpCore
+         * closes the connection if anything follows the response, and such a connection must not be used again. HttpCore
+         * doesn't report a connection that was closed by a reset, so this is checked here.
          */
         private void settle() {
             boolean open = session.isOpen();
@@ -367,7 +373,7 @@
                 exchange = null;
                 if (last.answeredEarly()) {
                     session.close(
-                            CloseMode.IMMEDIATE); // here, as the rest of the request would leave with the next turn
+                            CloseMode.IMMEDIATE); // now, as the next turn would send the rest of the request
                     open = false;
                 }
                 last.settle(open && !duplexer.turn.spent());
@@ -381,14 +387,14 @@
     }
 
     /**
-     * For the Host header. HttpHost asks the system for an address's name where it is given none; on a platform
-     * without DNS that holds up the reactor, and with it every call out, until the look-up times out.
+     * Returns the value of the Host header. The host name is passed explicitly because HttpHost would otherwise do a reverse
+     * DNS lookup, which on a platform without DNS blocks the reactor, and all outgoing calls, until it times out.
      */
     static HttpHost host(InetSocketAddress to) {
         return new HttpHost(null, to.getAddress(), to.getHostString(), to.getPort());
     }
 
-    /** Connections that are open or being opened. */
+    /** Number of connections that are open or being opened. */
     int connections() {
         return connections.get();
     }
@@ -428,8 +434,9 @@
     }
 
     /**
-     * To be called now and then: ends connects whose time is over. Guards the descriptors after a step back of the wall clock, by
-     * which HttpCore reckons: each connect to a machine that is gone would hold one until the system gives it up, in minutes.
+     * Cancels connects that are past their deadline; to be called periodically. HttpCore measures connect timeouts by the wall
+     * clock. After that clock has stepped back, each connect to an unreachable machine would hold a file descriptor for
+     * minutes, until the operating system gives up.
      */
     public void cancelOverdue() {
         long now = System.nanoTime();
@@ -447,31 +454,31 @@
         session.enqueue(new RequestExecutionCommand(exchange, HttpCoreContext.create()), Command.Priority.NORMAL);
     }
 
-    /** Runs {@code then} once what has come on this connection by now was read, or the connection has closed. */
+    /** Runs {@code task} once everything received on this connection by now was read, or the connection has closed. */
     static void readOut(IOSession session, Runnable then) {
         ((Handler) session.getHandler()).readOut(then);
     }
 
     /**
-     * The last before the process's end, where nobody connects any more: its thread leaves the system's calls, in which the JVM's
-     * end would wait for it. What is connected stays so until the system closes it with the process, not by a reset, which
-     * would throw away what the system has still to send.
+     * Prepares for the exit of the process; no connect may follow. Takes the reactor's thread out of system calls, in which
+     * the JVM would wait for it at exit. Connections stay open until the operating system closes them with the process. They
+     * aren't reset, because a reset discards data that the kernel has yet to send.
      */
     public void quiesce() {
         quiet = true;
-        // first, as nothing else wakes the thread: what is only being connected gives it nothing to stand still at
+        // First cancels connects: they are no sessions, at whose close the thread would block, and nothing else wakes it.
         pending.forEach(p -> p.connect.cancel(true));
         reactor.initiateShutdown();
     }
 
-    /** Has the reactor's thread wait for the end, at the first connection that HttpCore would have ended. */
+    /** Called before HttpCore closes a session on shutdown; when quiescing, blocks the reactor's thread until the exit. */
     private void standStillIfQuiet() {
         try {
             if (quiet) {
                 new CountDownLatch(1).await();
             }
         } catch (InterruptedException e) {
-            Thread.currentThread().interrupt(); // it is closed, which ends the thread
+            Thread.currentThread().interrupt(); // by close(), which ends the thread
         }
     }
 
--- a/src/main/java/copperbeam/transport/ClientRoom.java
+++ b/src/main/java/copperbeam/transport/ClientRoom.java
@@ -17,38 +17,38 @@
 import org.apache.hc.core5.reactor.IOSession;
 
 /**
- * What clients of all fronts together may take: connections, and bytes of requests that wait here. Guards the
- * limits on descriptors and memory against clients that ask once and stay, say nothing, or send much.
+ * The client connections of all fronts, and the limits they share: connections, and bytes of buffered request bodies.
+ * Keeps the process within its descriptors and memory when clients stay idle, never send a request, or send much.
  */
 public final class ClientRoom {
-    private static final Duration STAY = Duration.ofSeconds(2); // for which a connection may stand idle in any case
-    private static final Duration SILENT = Duration.ofMillis(500); // after which one that said nothing may go
+    private static final Duration STAY = Duration.ofSeconds(2); // a connection idle for less is not closed to make room
+    private static final Duration SILENT = Duration.ofMillis(500); // from accept; one without a byte by then may be closed
 
     private static final Duration CAME_ALONG =
-            Duration.ofSeconds(1); // from a connection's accept until a request that came with it is read, in a crowd
-    private static final int MOST_BEYOND = 8; // of the program's own descriptors, for connections that are told no
+            Duration.ofSeconds(1); // longest time under load from accept to the first read of a request sent before it
+    private static final int MOST_BEYOND = 8; // connections accepted just to refuse their requests; take the program's own descriptors
 
     /** One client's connection. */
     static final class Client {
         final IOSession session;
-        private final AtomicInteger all; // of the room: connections with an open request
+        private final AtomicInteger all; // all clients' connections with an open request
         final Instant connected;
         private final AtomicInteger open = new AtomicInteger();
         private volatile Instant idleSince;
-        final boolean beyond; // the limit: its requests are refused
-        Instant queuedSince; // it may have waited from then on to be accepted; null: no more request came with it; the
-        // reactor's
-        volatile boolean heard; // a byte has come
-        volatile boolean body; // of a request whose body is not whole yet
-        boolean deaf; // to more requests; the reactor's
-        ServerExchange reading; // the request whose head came last; the reactor's
-        HttpException unreadable; // what the last head was not read for; the reactor's
-        final Queue<ServerExchange> whole = new ArrayDeque<>(); // requests that no front has seen; the reactor's
-        volatile boolean ending; // the end of its last answer is on its way; what more comes is not read
-        volatile Instant closeAt; // that end is out
-        volatile boolean lingers; // the same, and of its request more may come: our side ends first
-        private volatile boolean going; // the thread that reads it is to close it
-        private final AtomicBoolean due = new AtomicBoolean(); // that thread is to look at its times
+        final boolean beyond; // accepted over the limit: its requests are refused
+        Instant queuedSince; // the earliest time at which it may have entered the listen queue; null: already used; only on
+        // the reactor's thread
+        volatile boolean heard; // a byte was received
+        volatile boolean body; // a request's body is being received
+        boolean deaf; // no further request is read from it; only on the reactor's thread
+        ServerExchange reading; // the request whose head came last; only on the reactor's thread
+        HttpException unreadable; // why the last head could not be parsed, or null; only on the reactor's thread
+        final Queue<ServerExchange> whole = new ArrayDeque<>(); // complete, not dispatched; only on the reactor's thread
+        volatile boolean ending; // the last answer is being completed or aborted; no more input is read
+        volatile Instant closeAt; // earliest time to close after the last answer; null: no close is planned
+        volatile boolean lingers; // more of its request may come: the output is shut down before the close
+        private volatile boolean going; // its reading thread is asked to close it
+        private final AtomicBoolean due = new AtomicBoolean(); // its reading thread is to check its timeouts
 
         Client(IOSession session, Instant now, boolean beyond, AtomicInteger all) {
             this.all = all;
@@ -72,8 +72,8 @@
         }
 
         /**
-         * How long a request that is read now may have waited behind its connection, until that was accepted. Guards against
-         * servers being told the time that its client had before.
+         * The longest time that a request read now may have waited since its connection entered the listen queue; zero
+         * for all but the first request. Servers are told the client's timeout less this time.
          */
         Duration queued(Instant now) {
             boolean cameAlong =
@@ -88,32 +88,32 @@
         }
 
         /**
-         * Nothing is open and nothing left to write. Guards against an answer cut off in the buffer: HttpCore writes the
-         * end of one to the system on a later turn, and by then its request counts as ended.
+         * No request is open and nothing is left to write. The second condition matters as HttpCore may write an answer's
+         * end later than its request counts as ended; a close in between would truncate it.
          */
         boolean idle() {
             try {
                 return !busy() && (session.getEventMask() & SelectionKey.OP_WRITE) == 0;
             } catch (CancelledKeyException e) {
-                return !busy(); // it is closed
+                return !busy(); // the connection is closed
             }
         }
 
-        /** Has the reactor look at it. */
+        /** Makes the reactor call this connection's output handler, which checks its timeouts if needed. */
         void wake() {
             try {
                 session.setEvent(SelectionKey.OP_WRITE);
             } catch (CancelledKeyException e) {
-                // it is closed, which the reactor hears of by itself
+                // the connection is closed, which the reactor notices by itself
             }
         }
 
-        /** Whether its times are to be looked at, once for each {@link ClientRoom#lookAtAll}. */
+        /** Whether its timeouts are to be checked; true once after each {@code wakeAll}. */
         boolean due() {
             return due.getAndSet(false);
         }
 
-        /** Idle for so long, or never heard though it has had the time to speak. */
+        /** Idle for longer than {@code minIdle}; before the first byte, open for longer than {@code FIRST_BYTE_GRACE}. */
         boolean quiet(Instant now, Duration span) {
             return heard
                     ? idleSince.plus(span).isBefore(now)
@@ -124,12 +124,12 @@
             return open.get();
         }
 
-        /** Asked to go, to make place for another. */
+        /** Whether it was asked to close, to make room for another. */
         boolean going() {
             return going;
         }
 
-        /** It is within a request after all. */
+        /** Withdraws the request to close, as it is in use after all. */
         void stays() {
             going = false;
         }
@@ -142,15 +142,15 @@
     private final AtomicInteger busy = new AtomicInteger();
     private final AtomicLong bytes = new AtomicLong();
 
-    /** Bounded by its own counts alone. */
+    /** Without a limit on the process's descriptors. */
     public ClientRoom(int most, long mostBytes) {
         this(most, mostBytes, DescriptorBudget.unlimited());
     }
 
     /**
-     * {@code most}: connections with an open request, and so many bytes of bodies. Each such connection takes two
-     * descriptors, the other one towards a server, and one without a request takes one: {@code 2 * most} together. Guards
-     * against a crowd that connects and asks for nothing in the place of those who ask.
+     * {@code maxBusy}: limit on connections with an open request; {@code maxBodyBytes}: limit on buffered bodies. A
+     * connection with an open request counts as two descriptors (the second one towards a server), an idle one as one; all
+     * together may use {@code 2 * maxBusy}. So many idle connections can't crowd out those with requests.
      */
     public ClientRoom(int most, long mostBytes, DescriptorBudget descriptors) {
         this.most = most;
@@ -158,7 +158,7 @@
         this.descriptors = descriptors;
     }
 
-    /** A new connection. Where room is short another is asked to go for it; where there is none its requests are refused. */
+    /** Adds a new connection. At the limit, asks an idle one to close; if there is none, the new one's requests are refused. */
     Client enter(IOSession session, Instant now) {
         Client client = new Client(session, now, !place(now), busy);
         clients.add(client);
@@ -166,13 +166,13 @@
     }
 
     /**
-     * Whether {@code coming} more and then one may come in, with those counted that have been asked to go and still have
-     * their descriptors. Guards the descriptors of the program itself, of servers' connections and of discovery: those for
-     * whom there is no place wait in the kernel's queue, where their requests are not lost.
+     * Whether one more connection may be accepted beside {@code pending} accepted ones. Connections asked to close count as
+     * long as they hold their descriptors. Keeps descriptors for the program itself, for connections to servers and for
+     * discovery; other clients wait in the kernel's listen queue, where their requests are not lost.
      */
     boolean takes(int coming, Instant now) {
         if (taken() + coming >= 2 * most + MOST_BEYOND) {
-            place(now); // asks one to go: it counts until it has
+            place(now); // asks one to close, which counts until it has closed
             return false;
         }
         boolean takes = !crowded() || descriptors.grants(busy.get());
@@ -186,7 +186,7 @@
         return clients.size() + busy.get();
     }
 
-    /** Whether there is place for one more, or one has been found that can go: between two requests, or silent. */
+    /** Whether there is room for one more. At the limit, asks an idle or silent one to close for it; false if there is none. */
     private boolean place(Instant now) {
         return taken() - clients.stream().filter(Client::going).count() < 2L * most || askOne(now);
     }
@@ -196,27 +196,27 @@
                 || ask(c -> !c.heard && c.connected.plus(SILENT).isBefore(now));
     }
 
-    /** More than half is taken: whoever is answered had better make place. */
+    /** Whether more than half of the limit is used; answered connections are then closed to make room. */
     boolean crowded() {
         return taken() > most;
     }
 
     /**
-     * Whether no more request may be open. Each takes a second descriptor: connections that came in without a word, up to
-     * twice as many as may ask, could else all ask at once.
+     * Whether no further request may begin. Each request needs a second descriptor, and up to twice as many idle connections
+     * are accepted as may have an open request; they could all send one at once.
      */
     boolean full() {
         return busy.get() >= most || taken() >= 2 * most + MOST_BEYOND || crowded() && !descriptors.serves(busy.get());
     }
 
-    /** From now on so many connections; those beyond stay. */
+    /** Changes the limit; connections over a lower one stay open. */
     public void most(int connections) {
         most = connections;
     }
 
     /**
-     * Has one be closed by the thread that reads it, which closes none within a request. Guards against a request that is
-     * read, or half of it, as another thread closes its connection.
+     * Asks the longest idle of the eligible connections to close. Its reading thread does so, and only between requests: a
+     * close from another thread could hit a request that is just being read.
      */
     private boolean ask(Predicate<Client> which) {
         return clients.stream()
@@ -234,7 +234,7 @@
         clients.remove(client);
     }
 
-    /** False where no more bodies can wait here; then nothing is taken. */
+    /** Reserves bytes for a body; false, with nothing reserved, if the limit would be exceeded. */
     boolean take(int count) {
         if (bytes.addAndGet(count) > mostBytes) {
             bytes.addAndGet(-count);
@@ -247,12 +247,12 @@
         bytes.addAndGet(-count);
     }
 
-    /** Has the reactor look at those that are idle for so long. */
+    /** Makes the reactor check the connections that are idle for longer than {@code minIdle}. */
     void wake(Instant now, Duration quiet) {
         clients.stream().filter(c -> c.idle() && c.quiet(now, quiet)).forEach(Client::wake);
     }
 
-    /** Has the reactor look at the times of each connection. */
+    /** Makes the reactor check the timeouts of each connection. */
     void lookAtAll() {
         clients.forEach(c -> {
             c.due.set(true);
@@ -260,12 +260,12 @@
         });
     }
 
-    /** Whether a request is open, or an answer on its way out. */
+    /** Whether any request is open or any answer is not written yet. */
     boolean busy() {
         return clients.stream().anyMatch(c -> !c.idle());
     }
 
-    /** Connections that are counted now. */
+    /** The number of open connections. */
     public int size() {
         return clients.size();
     }
--- a/src/main/java/copperbeam/transport/DescriptorBudget.java
+++ b/src/main/java/copperbeam/transport/DescriptorBudget.java
@@ -6,17 +6,17 @@
 import java.util.function.LongSupplier;
 
 /**
- * Whether descriptors are left for clients and for connections to servers, by the system's own count of those that are open. A count
- * of clients alone does not tell: a closed connection holds its descriptor until its reactor's next select, and a connection to a
- * server may outlive the request that it was opened for. For any thread.
+ * Decides whether enough file descriptors are left for clients and for connections to servers, by the system's count of
+ * open ones. A count of clients alone does not suffice: a closed connection holds its descriptor until its reactor's next
+ * select, and a connection to a server may outlive the request that it was opened for. For any thread.
  */
 public final class DescriptorBudget {
-    // each leaves what the ones below it need, and the last what discovery, operators and files opened late do
-    private static final int KEPT_FROM_CLIENTS = 24; // who would connect
-    private static final int KEPT_FROM_REQUESTS = 16; // of clients that have connected
-    private static final int KEPT_FROM_SERVERS = 8; // attempts and releases
-    private static final long AMPLE = 2; // times as many as expected
-    private static final long FRESH_NANOS = Duration.ofMillis(5).toNanos(); // a count of 1,000 takes 0.55 ms
+    // descriptors that must stay free; each leaves enough for the ones below it, the last for discovery, operators and files
+    private static final int KEPT_FROM_CLIENTS = 24; // after accepting a client
+    private static final int KEPT_FROM_REQUESTS = 16; // after a connected client's request begins
+    private static final int KEPT_FROM_SERVERS = 8; // after a connection for an attempt or a release
+    private static final long AMPLE = 2; // from this multiple of the expected number on, no check is needed
+    private static final long FRESH_NANOS = Duration.ofMillis(5).toNanos(); // counting 1,000 takes 0.55 ms
 
     private record Reading(long open, int connections, long at) {}
 
@@ -25,12 +25,12 @@
     private final IntSupplier connections;
     private final LongSupplier open;
     private final LongSupplier nanoTime;
-    private final AtomicInteger grantedSince = new AtomicInteger(); // the reading
+    private final AtomicInteger grantedSince = new AtomicInteger(); // clients accepted since the last reading
     private volatile Reading reading;
 
     /**
-     * {@code idle}: connections to servers that may stand idle; {@code connections}: all to servers that are open or being opened;
-     * {@code open}: descriptors of the process, as the system counts them.
+     * {@code idleConnections}: limit on idle connections to servers; {@code connections}: all connections to servers that are
+     * open or being opened; {@code openDescriptors}: open descriptors of the process, as the system counts them.
      */
     DescriptorBudget(long limit, int idle, IntSupplier connections, LongSupplier open, LongSupplier nanoTime) {
         this.limit = limit;
@@ -41,8 +41,8 @@
     }
 
     /**
-     * By what the system tells of this process; {@code expected}: descriptors that the configuration lets it have, of which
-     * {@code idle} may be idle connections to servers. None is ever refused where the system allows far more than is expected.
+     * For this process, by the system's limit and count. {@code expected}: descriptors it may use by its configuration, with
+     * up to {@code idleConnections} idle connections to servers. Unlimited if the system allows far more than expected.
      */
     public static DescriptorBudget ofProcess(int expected, int idle, ClientReactor reactor) {
         int limit = ProcessDescriptors.limit();
@@ -51,12 +51,12 @@
                 : unlimited();
     }
 
-    /** None is ever refused. */
+    /** Always allows everything. */
     public static DescriptorBudget unlimited() {
         return new DescriptorBudget(Integer.MAX_VALUE, 0, () -> 0, () -> 0, () -> 0);
     }
 
-    /** Whether one more client may connect beside so many open requests. Each one granted counts until the next reading. */
+    /** Whether one more client may connect, given the open requests. Each client granted counts until the next reading. */
     boolean grants(int openRequests) {
         int toCome = Math.max(0, openRequests + idle - connections.getAsInt());
         boolean grants = left() - toCome > KEPT_FROM_CLIENTS;
@@ -66,7 +66,7 @@
         return grants;
     }
 
-    /** Whether one more request may begin. Each open one may need a connection yet, and those that are idle be of no use to it. */
+    /** Whether one more request may begin. Assumes that idle connections can't be reused for the requests still without one. */
     boolean serves(int openRequests) {
         int inUse = Math.max(0, connections.getAsInt() - idle);
         int toCome = Math.max(0, openRequests - inUse);
--- a/src/main/java/copperbeam/transport/HttpFrontServer.java
+++ b/src/main/java/copperbeam/transport/HttpFrontServer.java
@@ -32,19 +32,19 @@
 public final class HttpFrontServer implements AutoCloseable {
     private static final Logger LOG = Logger.getLogger(HttpFrontServer.class.getName());
     private static final Duration REQUEST_TIME = Duration.ofMillis(2400); // from a request's first byte to its last
-    private static final Duration SILENCE = Duration.ofMillis(2400); // of a connection that has never said a word
+    private static final Duration SILENCE = Duration.ofMillis(2400); // from accept to a client's first byte
     private static final Duration QUIET =
-            Duration.ofMillis(50); // for which a client led away may have a request on its way
-    private static final Duration FLUSH_TIME = Duration.ofSeconds(1); // of a last answer, without a byte taken
-    private static final Duration LINGER = Duration.ofSeconds(1); // for what follows a request that was turned away
-    /** From one look at a connection without events to the next. */
+            Duration.ofMillis(50); // a client idle for less may have a request on its way
+    private static final Duration FLUSH_TIME = Duration.ofSeconds(1); // without write progress; then the client counts as not reading
+    private static final Duration LINGER = Duration.ofSeconds(1); // for the rest of a rejected request to arrive
+    /** Interval at which connections without I/O events are checked for timeouts. */
     public static final Duration TICK = Duration.ofMillis(200);
 
-    private static final Duration AGAIN = Duration.ofMillis(20); // between tries to begin with another reactor
-    private static final int MOST_HANDED_ON = 16; // connections that the reactor has not looked at yet
+    private static final Duration AGAIN = Duration.ofMillis(20); // between attempts to start a replacement reactor
+    private static final int MOST_HANDED_ON = 16; // accepted connections that the reactor has not registered yet
     private static final int BUFFER = 4096;
-    private static final int READS_A_TURN = 16; // of what is thrown away, while others wait for the reactor
-    private static final int MOST_THROWN_AWAY = 4 << 20;
+    private static final int READS_A_TURN = 16; // of discarded input, as other connections wait for the reactor
+    private static final int MOST_THROWN_AWAY = 4 << 20; // of one connection, after a rejected request
     private static final int MOST_BODY_READS = ServerExchange.MOST_BODY / BUFFER;
     static final Http1Config CONFIG = Http1Config.custom()
             .setBufferSize(BUFFER)
@@ -62,32 +62,32 @@
     private volatile boolean leading;
     private volatile boolean sealed;
     private final AtomicInteger reading =
-            new AtomicInteger(); // reactors at a client's bytes, or about to look whether they may
+            new AtomicInteger(); // reactor threads that read from a client, or are about to check whether they may
     private volatile Acceptor acceptor; // null until it listens
     private final ReactorTimers timers = new ReactorTimers();
 
-    /** A reactor, and how many connections are on their way to it: they end with it. */
+    /** A reactor, and the number of connections handed to it but not registered yet; these are lost if it ends. */
     private record Inlet(DefaultListeningIOReactor reactor, AtomicInteger handedOn) {}
 
     /** Why a client's connection was closed here. */
     public enum CloseReason {
-        /** A request was not whole in time. */
+        /** A request was not complete in time. */
         SLOW_REQUEST,
-        /** Its last answer has left, or its client takes nothing more of it. */
+        /** Its last answer was sent, or the client no longer reads it. */
         ANSWERED,
-        /** It never said a word. */
+        /** The client never sent a byte. */
         SILENT,
-        /** It stood idle, and its place was wanted or the process is about to end. */
+        /** It was idle, and its descriptor was needed or the process is about to end. */
         IDLE,
-        /** Its client ended its sending while a request was open. */
+        /** The client closed its sending side while a request was open. */
         CLIENT_ENDED,
-        /** Its client sent more than it may, behind a request that is open or was turned away. */
+        /** The client sent too many bytes after a request that is open or was rejected. */
         TOO_MUCH
     }
 
-    /** Told of what happens before or beside a front. */
+    /** Notified of events that the front does not see. */
     public interface Observer {
-        /** A request was answered before a front saw it; the class is as its header says, or null. */
+        /** A request was rejected before a front saw it. {@code requestClass}: its X-Priority-Class header, or null. */
         void turnedAway(String requestClass, int status);
 
         /** A client's connection was closed. */
@@ -124,13 +124,13 @@
         return new Inlet(next, handedOn);
     }
 
-    /** The first of a reactor's threads to end before its time has another reactor take its place. */
+    /** A thread of a reactor; the first one to end unexpectedly starts a replacement reactor. */
     private Thread thread(Runnable task, String name, AtomicBoolean ended) {
         return new Thread(
                 () -> {
                     try {
                         task.run();
-                    } finally { // an Error ends it too, such as a stack that is used up
+                    } finally { // also after an Error, such as a stack overflow
                         if (!closing.get() && ended.compareAndSet(false, true)) {
                             takeOver();
                         }
@@ -139,16 +139,19 @@
                 name);
     }
 
-    /** Guards against a reactor that ends where no descriptor is left for a moment: nobody would be served again. */
+    /**
+     * Starts a replacement, retrying until it succeeds. A reactor may end when the process runs out of descriptors for a
+     * moment; without a replacement no client would be served again.
+     */
     private void takeOver() {
-        LOG.warning("a reactor has ended and another takes its place");
-        inlet.reactor().initiateShutdown(); // its connections live on until they close
+        LOG.warning("a reactor ended unexpectedly; starting a replacement");
+        inlet.reactor().initiateShutdown(); // its open connections continue until they close
         while (!closing.get()) {
             try {
                 inlet = inlet();
                 return;
             } catch (IllegalStateException e) {
-                LOG.fine(() -> "no descriptor is left to begin with: " + e.getMessage());
+                LOG.fine(() -> "the replacement reactor could not start: " + e.getMessage());
             }
             try {
                 Thread.sleep(AGAIN.toMillis());
@@ -160,8 +163,9 @@
     }
 
     /**
-     * Guards against more connections between acceptor and reactor, or in the room, than there are descriptors; and against
-     * one taken while there is no reactor to serve it.
+     * Whether the acceptor may accept one more connection. Limits the connections that wait for the reactor to
+     * {@code MAX_PENDING_CONNECTIONS}, and all connections of clients as {@link ClientConnections} says. Without an active reactor
+     * none may be accepted, as nobody would serve it.
      */
     private boolean takes() {
         Inlet now = inlet;
@@ -175,14 +179,14 @@
         Inlet now = inlet;
         now.handedOn().incrementAndGet();
         if (!Acceptor.Entrance.enter(now.reactor(), channel, queuedSince)) {
-            now.handedOn().decrementAndGet(); // else 16 of them would keep all others out for good
+            now.handedOn().decrementAndGet(); // else MAX_PENDING_CONNECTIONS failures would block accepting for good
         }
     }
 
     private IOEventHandler handler(ProtocolIOSession session, Instant queuedSince, AtomicInteger handedOn) {
         ClientRoom.Client client = room.enter(session, clock.instant());
         client.queuedSince = queuedSince;
-        handedOn.decrementAndGet(); // after it is in the room: a stop must never see it in neither
+        handedOn.decrementAndGet(); // only after register(): a stop must see it in one of the two counts
         RequestParser parser = new RequestParser(CONFIG);
         return new Handler(
                 new RequestDuplexer(session, parser, client, (request, context) -> exchange(client)),
@@ -201,20 +205,20 @@
                 observer::turnedAway);
     }
 
-    /** One connection's events, on the reactor's thread. */
+    /** Handles one connection's I/O events, on the reactor's thread. */
     private final class Handler extends ServerHttp1IOEventHandler {
         private final RequestParser parser;
         private final ProtocolIOSession session;
         private final ClientRoom.Client client;
         private final RequestDuplexer duplexer;
-        private boolean listening; // for the client's close only
-        private boolean lingering; // our side has ended, and what belongs to a request turned away is thrown away
+        private boolean listening; // input is discarded; reads only detect the client's close
+        private boolean lingering; // output is shut down, and the rest of a rejected request is discarded
         private int thrownAway;
         private int passedOver;
-        private Instant began; // the request that is not whole yet
-        private long sent; // bytes that the system has taken
-        private Instant sentAt = Instant.MIN; // when that was seen to grow
-        private boolean looking; // for what has come since the reactor's select
+        private Instant began; // when the incomplete request began; null: there is none
+        private long sent; // bytes written to the socket
+        private Instant sentAt = Instant.MIN; // when sentBytes was last seen to grow
+        private boolean looking; // within hasNewInput(): reads what came since the reactor's select
 
         Handler(RequestDuplexer duplexer, RequestParser parser, ProtocolIOSession session, ClientRoom.Client client) {
             super(duplexer);
@@ -233,8 +237,8 @@
                     times();
                     gone();
                 } else if (client.ending) {
-                    // HttpCore would go on with half a request that it has in its buffer, and it would be sent on for a
-                    // connection that is about to close: unread, its client sends it once more
+                    // HttpCore would complete a partly buffered request and dispatch it on a connection that is about to
+                    // close; left unread, it is retried by its client
                     open.clearEvent(SelectionKey.OP_READ);
                     times();
                     gone();
@@ -254,8 +258,8 @@
                 read(open, bytes);
                 client.heard |= received() > 0;
                 readOn(open);
-                // HttpCore takes a client's end of sending for a wish to close once it is answered; here it is a client
-                // that has gone, and its attempt must not run on unread
+                // HttpCore treats a client's half-close as a request to close after the answer; here it means that the
+                // client has gone, and its attempt must not run on with nobody to read the answer
                 if (client.busy() && parser.ended() && client.closeAt == null) {
                     close(open, CloseMode.IMMEDIATE, CloseReason.CLIENT_ENDED);
                 }
@@ -288,8 +292,8 @@
         }
 
         /**
-         * Reads what came behind a whole request before a front sees that, up to the largest request's length: the client's
-         * close may be there. HttpCore reads once a turn, and looks at a close it has read in the turn after.
+         * Before a front sees a complete request, reads what follows it, up to the maximum body length: the client may already
+         * have closed the connection. HttpCore reads once per event, and handles a close only at the next event.
          */
         private void readOn(IOSession open) throws IOException {
             long before = -1;
@@ -319,8 +323,8 @@
         }
 
         /**
-         * Behind a request that is open came what is no request, and nothing more is heard; but the close is listened for.
-         * Guards against attempts for a client that has gone.
+         * Once requests are ignored while earlier ones are open, keeps reading only to detect the client's close, so that no
+         * attempt runs on for a client that has gone.
          */
         private void listen(IOSession open) {
             listening = client.deaf && client.open() > 1;
@@ -329,7 +333,7 @@
             }
         }
 
-        /** Who sends more than the largest request behind one that it waits for has no use for the answer. */
+        /** Discards input; closes the connection at its end, or once it exceeds the maximum body length. */
         private void passOver(IOSession open) throws IOException {
             ByteBuffer bytes = ByteBuffer.allocate(BUFFER);
             int count = open.read(bytes);
@@ -340,8 +344,8 @@
         }
 
         /**
-         * Guards against an answer that is lost: a close over unread bytes is a reset, which a client that still writes
-         * meets before it has read.
+         * Shuts down the output only and keeps reading. A close with unread input sends a TCP reset, and a client that is
+         * still writing would lose the answer.
          */
         private void linger() {
             lingering = true;
@@ -366,7 +370,7 @@
             }
         }
 
-        /** Comes each tick on a connection without events. */
+        /** Called each {@link #TICK} on a connection without events. */
         @Override
         public void timeout(IOSession open, Timeout timeout) {
             times();
@@ -385,7 +389,7 @@
             gone();
         }
 
-        /** Guards against clients that say nothing, or stop within a request: they hold a connection for nothing. */
+        /** Closes the connection if it is done or one of its timeouts has passed. */
         private void times() {
             if (!session.isOpen()) {
                 return;
@@ -395,7 +399,7 @@
             if (client.lingers && flushed && !lingering) {
                 linger();
             }
-            boolean left = flushed || stalled(now); // what was answered before
+            boolean left = flushed || stalled(now); // whether earlier answers are sent, or will never be
             if (slow(now) && left) {
                 close(session, CloseMode.GRACEFUL, CloseReason.SLOW_REQUEST);
             } else if (answered(now, flushed)) {
@@ -405,13 +409,13 @@
             }
         }
 
-        /** {@code connection}: HttpCore closes its outer session no more once a client has ended its sending. */
+        /** {@code connection}: not always the outer session, whose close has no effect after the client's half-close. */
         private void close(IOSession connection, CloseMode mode, CloseReason reason) {
             observer.closed(reason);
             connection.close(mode);
         }
 
-        /** Nothing waits here for the system to take it. */
+        /** Whether no output is waiting to be written to the socket; also records write progress. */
         private boolean flushed(Instant now) {
             long count = duplexer.getEndpointDetails().getSentBytesCount();
             if (count != sent) {
@@ -421,18 +425,18 @@
             return (session.getEventMask() & SelectionKey.OP_WRITE) == 0;
         }
 
-        /** The system takes nothing more, as the client reads nothing. */
+        /** Whether there was no write progress for {@code FLUSH_TIMEOUT}, as the client does not read. */
         private boolean stalled(Instant now) {
             return sentAt.plus(FLUSH_TIME).isBefore(now);
         }
 
-        /** A request takes too long to come, and no answer to one before it is owed. */
+        /** Whether a request takes too long to arrive while no earlier request is open. */
         private boolean slow(Instant now) {
             began = client.deaf || !parser.partial() && !client.body ? null : began == null ? now : began;
             return began != null && began.plus(REQUEST_TIME).isBefore(now) && client.open() == (client.body ? 1 : 0);
         }
 
-        /** The last answer has left, and its client has had the time to read it; or it takes nothing more of it. */
+        /** Whether the last answer was sent and the client had time to read it, or the client no longer reads it. */
         private boolean answered(Instant now, boolean flushed) {
             Instant last = client.closeAt;
             if (last == null) {
@@ -442,11 +446,14 @@
                 return last.plus(FLUSH_TIME).isBefore(now) && stalled(now);
             }
             boolean longer =
-                    lingering && !draining && !room.crowded(); // else its place is wanted, or the process's end
+                    lingering && !draining && !room.crowded(); // else its descriptor is needed, or the process is about to end
             return last.plus(longer ? LINGER : Duration.ZERO).isBefore(now);
         }
 
-        /** Without a request, and silent for too long or wanted to go. */
+        /**
+         * Whether the connection may be closed: its client sent no byte in time, or it is idle and either was asked to close
+         * or all idle connections are being closed.
+         */
         private boolean unused(Instant now, boolean flushed) {
             boolean between = !client.busy() && flushed && !parser.partial();
             if (!between && flushed) {
@@ -457,12 +464,12 @@
         }
 
         /**
-         * Whether a client without a request has said something after all. Guards against a close over a request that came
-         * while the reactor was at others.
+         * Reads once more, and returns whether the connection is in use after all. Without this, a request that arrived
+         * while the reactor handled other connections would be lost in the close.
          */
         private boolean heardSince() {
             if (looking) {
-                return true; // the outer look decides
+                return true; // called from the read below; the outer call decides
             }
             looking = true;
             try {
@@ -475,7 +482,7 @@
             }
         }
 
-        /** HttpCore does not tell of connections that it closed for a reset or another exception of theirs. */
+        /** Unregisters a closed connection. HttpCore does not report those it closed after a reset or an exception. */
         private void gone() {
             if (!session.isOpen()) {
                 room.leave(client);
@@ -483,10 +490,13 @@
         }
     }
 
-    /** What has run may fail, but is never refused: its client would ask for it from the beginning. */
+    /**
+     * Answers a request that exceeds the limits. A request that resumes an earlier one fails (500) instead of being
+     * refused (503): after a refusal its client would start again from the beginning.
+     */
     private Runnable refuse(HttpCall call, HttpReply reply) {
         if (call.asksForHealth()) {
-            return front.accept(call, reply); // costs no server's descriptor, and who asks would take us for ill
+            return front.accept(call, reply); // needs no server connection, and a refusal would make this process look unhealthy
         }
         int status = HttpCall.resumes(call.header("x-retried")) ? 500 : 503;
         observer.turnedAway(call.header("x-priority-class"), status);
@@ -498,7 +508,7 @@
         return () -> {};
     }
 
-    /** {@code shared}: beside another process. Returns the address it has got, of use where port 0 was asked for. */
+    /** {@code shared}: another process may listen there too. Returns the bound address, with the port chosen for port 0. */
     public InetSocketAddress listen(InetSocketAddress address, boolean shared) throws IOException {
         try {
             acceptor = new Acceptor(address, shared, clock, this::takes, this::take);
@@ -508,23 +518,23 @@
         return acceptor.address();
     }
 
-    /** Whether each answer from now on says that its connection closes. */
+    /** While set, each answer carries Connection: close. */
     public void drain(boolean now) {
         draining = now;
     }
 
     /**
-     * Whether connections without a request are closed: by the thread that reads them, once all at hand was read, and
-     * none that says its first words or is within a request. Guards against requests turned back unheard.
+     * While set, idle connections are closed. The reading thread does so once all available input was read, and spares new
+     * connections and those within a request, so that no request is lost unread.
      */
     public void leadAway(boolean now) {
         leading = now;
         if (now) {
-            room.wake(clock.instant(), QUIET); // else they would be looked at on the reactor's tick, up to 0.4 s late
+            room.wake(clock.instant(), QUIET); // else the reactor checks them up to 0.4 s later
         }
     }
 
-    /** No new connection is taken. */
+    /** Stops listening, once the connections that are in the kernel's queue by now are accepted. */
     public void stopListening() {
         if (acceptor != null) {
             acceptor.close();
@@ -532,8 +542,8 @@
     }
 
     /**
-     * The address is given up whatever still waits there: unread, its clients send it once more elsewhere. Guards against
-     * clients that come faster than they are let go, for whom a stop would go on until the kill.
+     * Stops listening at once, although connections may be in the kernel's queue; their clients retry elsewhere. Without
+     * this, clients that connect faster than they are accepted would delay a stop until the process is killed.
      */
     public void abandonAddress() {
         if (acceptor != null) {
@@ -541,7 +551,7 @@
         }
     }
 
-    /** At the address given up before, unless it was not; false where that can't be had now. */
+    /** Listens again at the same address if it has stopped; false if that is not possible now. */
     public boolean listenAgain() {
         Acceptor old = acceptor;
         if (old == null || !old.closing()) {
@@ -558,12 +568,12 @@
         }
     }
 
-    /** Whether connections may still come in from the address, given up or not. */
+    /** Whether connections may still be accepted, also after {@link #stopListening} while some are in the kernel's queue. */
     public boolean listening() {
         return acceptor != null && !acceptor.ended();
     }
 
-    /** Asked in the order of a connection's way in, so that none is passed over as it goes from one place to the next. */
+    /** Whether any connection is open. Counts those not registered yet first, so that one registered meanwhile isn't missed. */
     public boolean connected() {
         return inlet.handedOn().get() > 0 || room.size() > 0;
     }
@@ -572,7 +582,7 @@
         return room.busy();
     }
 
-    /** To be called each {@link #TICK}: looks at all connections where HttpCore does not, as the wall clock has stepped back. */
+    /** To be called each {@link #TICK}: checks all timeouts while HttpCore's timers stand still (see {@code ReactorTimers}). */
     public void tick() {
         if (timers.stalled()) {
             room.lookAtAll();
@@ -580,10 +590,10 @@
     }
 
     /**
-     * From now on nothing that clients write is read, until it is unsealed: true where nothing is open then, so that the
-     * process may end. Guards against a request that is read as the end is decided, and lost with the process; one that
-     * was not read its client sends once more. The reader says first that it reads and then looks, so that one of the two
-     * sees the other.
+     * Stops reading from clients until {@code resumeReading}; true if no request is open then, so that the process may end.
+     * A request read while the end is decided would be lost with the process; one left unread is retried by its client.
+     * The reading thread first counts itself in {@code activeReads} and then checks {@code readingPaused}, so that one of
+     * the two threads always sees the other.
      */
     public boolean seal() {
         sealed = true;
@@ -595,8 +605,8 @@
     }
 
     /**
-     * The last before the process's end, where no client is connected: its threads leave the system's calls, in which the JVM's
-     * end would wait for them.
+     * The last call before the process ends, when no client is connected: makes the threads leave their system calls, which
+     * the JVM's shutdown would wait for.
      */
     public void quiesce() {
         closing.set(true);
@@ -607,7 +617,7 @@
     @Override
     public void close() {
         closing.set(true);
-        abandonAddress(); // else its thread would wait for the reactor's place for good
+        abandonAddress(); // else the acceptor's thread would wait for the reactor for good
         inlet.reactor().close(CloseMode.GRACEFUL);
     }
 }
--- a/src/main/java/copperbeam/transport/ListenQueueAge.java
+++ b/src/main/java/copperbeam/transport/ListenQueueAge.java
@@ -12,34 +12,34 @@
 import java.util.logging.Logger;
 
 /**
- * Bounds how long connections have waited in the kernel's listen queue, which tells no times. The queue is first in, first out:
- * while connections wait there, markers are sent through it, connections of our own that were begun at a known time, and whoever is
- * accepted behind a marker came later than it was begun. For one thread.
+ * Estimates an upper bound of the time that connections wait in the kernel's listen queue, which records no times. While
+ * connections wait there, it sends markers through the queue: own connections to the listener, begun at known times. As the
+ * queue is first in, first out, a connection accepted after a marker arrived after the marker was begun. For one thread.
  */
 final class ListenQueueAge implements AutoCloseable {
     private static final Logger LOG = Logger.getLogger(ListenQueueAge.class.getName());
     private static final Duration INTERVAL = Duration.ofMillis(50); // between markers
-    private static final int MOST_MARKERS = 8; // each has a descriptor
+    private static final int MOST_MARKERS = 8; // each uses a descriptor
 
     private record Marker(SocketChannel channel, Instant begun) {}
 
     private final InetSocketAddress listener;
     private final Clock clock;
-    private final Deque<Marker> markers = new ArrayDeque<>(); // the oldest first
+    private final Deque<Marker> markers = new ArrayDeque<>(); // oldest first
     private Instant waitingSince;
-    private Instant lastBegun; // of a marker, or of the waiting
+    private Instant lastBegun; // when the last marker was begun, or else waitingSince
 
     ListenQueueAge(InetSocketAddress listener, Clock clock) {
         this.listener = listener;
         this.clock = clock;
     }
 
-    /** Whoever is accepted next came after this. */
+    /** The next accepted connection entered the queue after this time; null while the queue is empty. */
     Instant waitingSince() {
         return waitingSince;
     }
 
-    /** A connection is in the queue. */
+    /** To be called when the queue has a connection. */
     void filled() {
         if (waitingSince == null) {
             waitingSince = clock.instant();
@@ -47,7 +47,7 @@
         }
     }
 
-    /** None is. */
+    /** To be called when the queue is empty. */
     void emptied() {
         waitingSince = null;
         close();
@@ -60,7 +60,7 @@
             return;
         }
         lastBegun = now;
-        // the queue was full; the system would try for seconds, and an old marker tells little
+        // unconnected markers met a full queue; the system would retry for seconds, and a late marker gives a poor bound
         markers.removeIf(marker -> !connected(marker) && close(marker));
         if (markers.size() < MOST_MARKERS) {
             begin(now);
@@ -74,7 +74,7 @@
             channel.configureBlocking(false);
             channel.connect(listener);
         } catch (IOException e) {
-            LOG.fine(() -> "no marker for the listen queue: " + e);
+            LOG.fine(() -> "no marker could be sent to the listen queue: " + e);
         }
     }
 
@@ -82,11 +82,11 @@
         try {
             return marker.channel.finishConnect();
         } catch (IOException | RuntimeException e) {
-            return false; // it was refused, or never begun
+            return false; // the connection was refused, or never begun
         }
     }
 
-    /** Whether this connection, just accepted, was a marker; it is closed then. */
+    /** Whether this accepted connection is a marker, which is closed then. */
     boolean takeMarker(SocketChannel accepted) throws IOException {
         if (markers.isEmpty()) {
             return false;
@@ -104,7 +104,7 @@
         accepted.close();
         waitingSince = found.begun;
         while (markers.peek() != found) {
-            close(markers.poll()); // another process at this address has it
+            close(markers.poll()); // lost, or accepted by another process at this address
         }
         close(markers.poll());
         return true;
@@ -114,7 +114,7 @@
         try {
             marker.channel.close();
         } catch (IOException e) {
-            LOG.finest("a marker was closed");
+            LOG.finest("closing a marker failed");
         }
         return true;
     }
--- a/src/main/java/copperbeam/transport/PlainHttpClient.java
+++ b/src/main/java/copperbeam/transport/PlainHttpClient.java
@@ -14,7 +14,7 @@
 import org.apache.hc.core5.reactor.IOSession;
 import org.apache.hc.core5.util.Timeout;
 
-/** Calls to services beside the servers; keeps one idle connection to each. */
+/** Makes HTTP calls to services other than the servers; keeps one idle connection per address. */
 public final class PlainHttpClient implements HttpClient {
     private final ClientReactor reactor;
     private final ConcurrentHashMap<InetSocketAddress, IOSession> kept = new ConcurrentHashMap<>();
@@ -42,7 +42,7 @@
             }
         }
 
-        /** Guards the next call on a kept connection: one that has ended has none. */
+        /** Cancels the call. Does nothing if it has ended, as its connection may already carry the next call. */
         void stop() {
             IOSession current = over.getAndSet(true) ? null : session.get();
             if (current != null) {
@@ -110,7 +110,7 @@
 
             @Override
             void whole(boolean reusable) {
-                boolean ends = call.over.compareAndSet(false, true); // else it was stopped, and its connection with it
+                boolean ends = call.over.compareAndSet(false, true); // false: cancelled, which closed the connection
                 kept.values().removeIf(s -> !s.isOpen());
                 IOSession other = reusable && ends ? kept.put(call.to, session) : session;
                 if (other != null && (other != session || !reusable || !ends)) {
@@ -126,7 +126,7 @@
                 if (reused && !mayHaveRun && !call.over.get()) {
                     connect(call, method, target, body);
                 } else {
-                    call.fail(cause() == null ? "the connection broke" : cause().toString());
+                    call.fail(cause() == null ? "the connection closed before the response was complete" : cause().toString());
                 }
             }
         });
--- a/src/main/java/copperbeam/transport/Problems.java
+++ b/src/main/java/copperbeam/transport/Problems.java
@@ -4,22 +4,25 @@
 import java.util.logging.Level;
 import java.util.logging.Logger;
 
-/** Where what goes wrong inside a reactor is told. */
+/** Logs exceptions and errors inside a reactor. */
 final class Problems {
     private static final Logger LOG = Logger.getLogger("copperbeam.transport");
 
     private Problems() {}
 
-    /** Broken connections are ordinary here; anything else is a fault of ours. */
+    /** Logs an exception unless it is due to a broken connection or a malformed message. */
     static void report(Exception e) {
         if (!(e instanceof IOException) && !(e instanceof org.apache.hc.core5.http.HttpException)) {
-            LOG.log(Level.WARNING, "in a reactor", e);
+            LOG.log(Level.WARNING, "unexpected exception in a reactor", e);
         }
     }
 
-    /** Of one connection: an Error, as by a stack that is used up, would end the reactor and with it all others. */
+    /**
+     * Logs an Error in one connection's handler, such as a stack overflow, and returns an exception that closes only that
+     * connection; the Error itself would end the reactor and all its connections.
+     */
     static IOException broken(Error e) {
-        LOG.log(Level.SEVERE, "a connection's turn failed", e);
-        return new IOException("its turn failed", e);
+        LOG.log(Level.SEVERE, "a connection's event handler failed", e);
+        return new IOException("the event handler failed", e);
     }
 }
--- a/src/main/java/copperbeam/transport/ProcessDescriptors.java
+++ b/src/main/java/copperbeam/transport/ProcessDescriptors.java
@@ -7,14 +7,14 @@
 import java.nio.file.Path;
 import java.util.stream.Stream;
 
-/** The file descriptors of this process, as Linux tells of them. */
+/** The limit on and the number of this process's file descriptors, from Linux's /proc. */
 public final class ProcessDescriptors {
     private static final Path LIMITS = Path.of("/proc/self/limits");
     private static final File OPEN = new File("/proc/self/fd");
 
     private ProcessDescriptors() {}
 
-    /** What the system lets this process have; the largest number where it does not tell. */
+    /** The soft limit on open descriptors; {@code Integer.MAX_VALUE} if it is unlimited or can't be read. */
     public static int limit() {
         try (Stream<String> lines = Files.lines(LIMITS)) {
             return lines.filter(l -> l.startsWith("Max open files"))
@@ -28,7 +28,7 @@
         }
     }
 
-    /** How many are open; the largest number where none is left to count with. */
+    /** The number of open descriptors; {@code Integer.MAX_VALUE} if none is left to read the directory with. */
     static int open() {
         String[] all = OPEN.list();
         return all == null ? Integer.MAX_VALUE : all.length;
--- a/src/main/java/copperbeam/transport/ReactorTimers.java
+++ b/src/main/java/copperbeam/transport/ReactorTimers.java
@@ -1,13 +1,13 @@
 package copperbeam.transport;
 
 /**
- * Whether HttpCore's timers stand still. They go by the wall clock: once it has stepped back, no time-out comes before it is
- * again where it was, an hour later perhaps.
+ * Detects that HttpCore's timers stand still. They use the wall clock: after it was set back, no timeout fires until it has
+ * caught up, perhaps an hour later.
  */
 final class ReactorTimers {
-    private long latest = System.currentTimeMillis(); // of the wall clock, in ms
+    private long latest = System.currentTimeMillis(); // latest wall-clock time seen, in ms
 
-    /** To be asked now and then, as a step shows only against what was seen before it. */
+    /** Whether the wall clock is behind an earlier time. To be called regularly, as it compares with earlier calls only. */
     boolean stalled() {
         long now = System.currentTimeMillis();
         latest = Math.max(latest, now);
--- a/src/main/java/copperbeam/transport/RequestDuplexer.java
+++ b/src/main/java/copperbeam/transport/RequestDuplexer.java
@@ -22,7 +22,7 @@
 import org.apache.hc.core5.http.protocol.HttpProcessor;
 import org.apache.hc.core5.reactor.ProtocolIOSession;
 
-/** HttpCore's side of a client's connection, with bodies bounded and a head that can't be read turned away as others are. */
+/** HttpCore's protocol handler of a client's connection; bounds bodies, and rejects malformed requests with an answer. */
 final class RequestDuplexer extends ServerHttp1StreamDuplexer {
     private static final HttpProcessor PROCESSOR = HttpProcessors.server();
 
@@ -60,7 +60,7 @@
         client.unreadable = parser.unreadable();
         client.deaf |= client.unreadable != null || client.open() >= ServerExchange.MOST_PIPELINED;
         if (client.deaf) {
-            // a body without end: HttpCore closes by itself behind the answer to a request that is whole
+            // a body without end, since HttpCore would close by itself after the answer to a complete request
             return super.createContentDecoder(Long.MAX_VALUE, channel, buffer, metrics);
         }
         return length == ContentLengthStrategy.CHUNKED
@@ -72,8 +72,8 @@
     }
 
     /**
-     * Chunks, or, from where they can't be read, a body without end that is thrown away. Guards against HttpCore's close at
-     * once, with the answers to earlier requests owed.
+     * Decodes a chunked body. From malformed chunks on it discards input without end; HttpCore would close at once, while
+     * earlier requests still wait for their answers.
      */
     private final class ChunkedBody implements ContentDecoder {
         private final Chunks.Decoder chunks;
@@ -107,7 +107,7 @@
 
         private static boolean malformed(IOException e) {
             return e instanceof MessageConstraintException
-                    || e != null && e.getCause() instanceof ParseException // a trailer that is none
+                    || e != null && e.getCause() instanceof ParseException // a malformed trailer
                     || e instanceof MalformedChunkCodingException && !(e instanceof TruncatedChunkException);
         }
 
--- a/src/main/java/copperbeam/transport/RequestParser.java
+++ b/src/main/java/copperbeam/transport/RequestParser.java
@@ -17,8 +17,8 @@
 import org.apache.hc.core5.http.protocol.RequestValidateHost;
 
 /**
- * A client's heads. For one that can't be read a head comes that stands for it, so that it is turned away as others are:
- * HttpCore would close behind its own answer with bytes unread, and the system's reset may take the answer along.
+ * Parses request heads. A malformed head is replaced by a substitute, so that {@link ServerExchange} rejects the request:
+ * HttpCore itself would answer and close with input unread, and the TCP reset may destroy the answer.
  */
 final class RequestParser implements NHttpMessageParser<HttpRequest> {
     private final BoundedParser<HttpRequest> parser;
@@ -29,7 +29,7 @@
         parser = new BoundedParser<>(new DefaultHttpRequestParserFactory(config).create(), true);
     }
 
-    /** What the head was not read for that another one stands for; null where there is none. */
+    /** Why a head was replaced by a substitute; null if none was. */
     HttpException unreadable() {
         return unreadable;
     }
@@ -38,7 +38,7 @@
         return unreadable == null && parser.partial();
     }
 
-    /** The client has ended its sending. */
+    /** Whether the client has closed its sending side. */
     boolean ended() {
         return ended;
     }
@@ -60,12 +60,12 @@
         } catch (HttpException e) {
             unreadable = e;
             HttpRequest standsIn = new BasicHttpRequest("GET", "/");
-            standsIn.setHeader("Host", "unreadable"); // else HttpCore turns it away
+            standsIn.setHeader("Host", "unreadable"); // required by HttpCore
             return standsIn;
         }
     }
 
-    /** The checks that HttpCore makes only behind the parser, where it closes by itself behind its own answer. */
+    /** Checks that HttpCore makes only after parsing, where it would answer and close by itself. */
     private static void conform(HttpRequest head) throws IOException, HttpException {
         ProtocolVersion version = head.getVersion();
         if (version != null && version.greaterEquals(HttpVersion.HTTP_2)) {
--- a/src/main/java/copperbeam/transport/ServerConnector.java
+++ b/src/main/java/copperbeam/transport/ServerConnector.java
@@ -23,13 +23,17 @@
 import org.apache.hc.core5.reactor.IOSession;
 import org.apache.hc.core5.reactor.ProtocolIOSession;
 
-/** The platform's protocol towards servers. */
+/** Connects to servers and speaks the platform's protocol with them: attempts, probes and releases of read states. */
 public final class ServerConnector implements Connector {
     private static final String[] PASSED = {
         "X-Tenant-Id", "X-Route-Key", "X-Attrs", "X-Retried", "Idempotency-Key", "Content-Type", "Accept"
     };
 
-    private static final Duration MOST_TOLD_TOO_MUCH = Duration.ofMillis(100); // of the time that is left
+    /**
+     * By how much the X-Timeout in a request's head may exceed the time left when its last byte is due to be sent. Beyond
+     * this, the last byte is not sent, and the server doesn't run the request.
+     */
+    private static final Duration MOST_TOLD_TOO_MUCH = Duration.ofMillis(100);
 
     private final ClientReactor reactor;
     private final DescriptorBudget descriptors;
@@ -38,7 +42,7 @@
         this(reactor, DescriptorBudget.unlimited());
     }
 
-    /** Where {@code descriptors} run out, a connect fails at once, as it would where none is left at all. */
+    /** If the budget of file descriptors is used up, connects fail at once, as they would without any descriptor left. */
     public ServerConnector(ClientReactor reactor, DescriptorBudget descriptors) {
         this.reactor = reactor;
         this.descriptors = descriptors;
@@ -132,7 +136,10 @@
             session.close(CloseMode.IMMEDIATE);
         }
 
-        /** The JDK closes a channel's descriptor, which sends the reset, as its selector next lets go of it. */
+        /**
+         * The JDK closes the socket of a registered channel, which sends the reset, only when the selector next deregisters
+         * the channel.
+         */
         @Override
         public boolean released() {
             return !((SelectableChannel) ((ProtocolIOSession) session).channel()).isRegistered();
@@ -191,14 +198,14 @@
             return call.mayBegin().getAsBoolean();
         }
 
-        /** Guards against a time that is over by then: the call may have waited for its turn on the reactor. */
+        /** Sets X-Timeout as late as possible, since the call may have waited for the reactor's thread. */
         @Override
         void leaves(HttpRequest head) {
             patienceTold = call.patience().get();
             head.setHeader("X-Timeout", PlatformHeaders.timeout(patienceTold));
         }
 
-        /** Guards also against a head that has grown old: where a body leaves late, its server was told too much time. */
+        /** False also if the body is sent so late that the X-Timeout in the head overstates the time left. */
         @Override
         boolean wanted() {
             Duration passed = patienceTold.minus(call.patience().get());
@@ -211,7 +218,7 @@
                     call.reads(), response.getCode(), "1".equals(value(response, "X-Not-Processed")));
             stream = word == Word.STREAM;
             if (stream && !response.containsHeader("Transfer-Encoding") && !response.containsHeader("Content-Length")) {
-                throw new ProtocolException("a stream whose end can't be told from a break");
+                throw new ProtocolException("stream with neither Transfer-Encoding nor Content-Length");
             }
             listener.word(word, PlatformHeaders.report(value(response, "X-Server-Load")));
         }
@@ -221,7 +228,7 @@
             if (!stream) {
                 gather(bytes);
             } else if (!events.take(bytes, listener::event)) {
-                throw new IOException("what comes is no stream of events");
+                throw new IOException("not a stream of server-sent events");
             }
         }
 
--- a/src/main/java/copperbeam/transport/ServerExchange.java
+++ b/src/main/java/copperbeam/transport/ServerExchange.java
@@ -42,15 +42,15 @@
     static final int MOST_BODY = 256 * 1024;
     static final int MOST_PIPELINED = 8; // requests open on one connection
 
-    private static final Duration LINGER = Duration.ofMillis(100); // for an answer to be read before a close
-    private static final Duration CUT_TIME = Duration.ofSeconds(1); // for what was passed on, until a cut in any case
+    private static final Duration LINGER = Duration.ofMillis(100); // for the client to read the answer before the close
+    private static final Duration CUT_TIME = Duration.ofSeconds(1); // for sending what was written before an abort
 
-    // of an answer that its client does not take; a chunk of a server's may be so long
+    // bytes of an answer that may wait for a slow client; one chunk from a server may be this long
     private static final int MOST_WAITING = 1 << 20;
 
-    private static final int MOST_A_TURN = 64 * 1024; // bytes written, while others wait for the reactor
+    private static final int MOST_A_TURN = 64 * 1024; // bytes written at once, as other connections wait for the reactor
 
-    /** Told of a request that is answered here, before a front sees it. */
+    /** Notified of a request that is rejected here, before a front sees it. */
     interface TurnedAway {
         void told(String requestClass, int status);
     }
@@ -71,11 +71,11 @@
     private final TurnedAway turnedAway;
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
     private final ConcurrentLinkedQueue<Piece> pieces = new ConcurrentLinkedQueue<>();
-    private final AtomicInteger waiting = new AtomicInteger(); // bytes of pieces
+    private final AtomicInteger waiting = new AtomicInteger(); // bytes in pendingWrites
     private final AtomicInteger producing = new AtomicInteger();
     private final AtomicBoolean over = new AtomicBoolean();
     private volatile Last last = Last.NONE;
-    private volatile boolean closing; // after this answer
+    private volatile boolean closing; // the connection closes after this answer
     private volatile ResponseChannel responses;
     private volatile DataStreamChannel output;
     private volatile Runnable toldGone = () -> {};
@@ -83,10 +83,10 @@
     private HttpRequest request;
     private HttpContext context;
     private Instant arrived;
-    private Duration queued; // before that, at most
+    private Duration queued; // upper bound of its wait before arrivedAt
     private boolean answered;
-    private boolean unread; // the rest of the request stays on the connection
-    private int held; // bytes of the body, counted in the room until all is over
+    private boolean unread; // the rest of the request was not read
+    private int held; // bytes of the body, reserved in the limit of all clients until the exchange ends
     private boolean cutSeen;
 
     ServerExchange(
@@ -120,8 +120,8 @@
         if (client.unreadable != null) {
             turnAway(ServerSupport.toStatusCode(client.unreadable), ServerSupport.toErrorMessage(client.unreadable));
         } else if (client.deaf) {
-            // nothing behind it is read as a request: by the hundred they would hide their client's close, and take
-            // memory
+            // nothing after it is parsed as a request: hundreds of pipelined requests would use memory and delay the
+            // detection of the client's close
             turnAway(busyStatus(), "too many requests on one connection");
         } else if (entity == null) {
             client.whole.add(this);
@@ -134,7 +134,7 @@
 
     @Override
     public void updateCapacity(CapacityChannel channel) throws IOException {
-        // after a final answer nothing more is read: its sender may have gigabytes to send
+        // after a final answer nothing more is read: the client may send gigabytes
         if (!answered) {
             channel.update(Integer.MAX_VALUE);
         }
@@ -167,27 +167,30 @@
         }
     }
 
-    /** Its body can't be read to its end. */
+    /** The body is malformed. */
     void unreadable(String why) {
         if (!answered) {
             turnAway(400, why);
         }
     }
 
-    /** What has run may fail, but is never refused: its client would ask for it from the beginning. */
+    /**
+     * The status while overloaded: 503, but 500 for a request that resumes an earlier one, as after a refusal its client
+     * would start again from the beginning.
+     */
     private int busyStatus() {
         Header retried = request.getFirstHeader("X-Retried");
         return retried != null && HttpCall.resumes(retried.getValue()) ? 500 : 503;
     }
 
-    /** The final answer to a request whose body is not read; the connection closes once that is out. */
+    /** Answers a request without reading the rest of its body; the connection closes once the answer is sent. */
     private void turnAway(int status, String why) {
         answered = true;
         body.reset();
         client.body = false;
         unread = true;
         client.deaf = true;
-        client.closeAt = clock.instant().plus(Duration.ofDays(1)); // the answer may have to wait for others here
+        client.closeAt = clock.instant().plus(Duration.ofDays(1)); // the answer may have to wait for earlier ones
         client.session.clearEvent(SelectionKey.OP_READ);
         Header requestClass = request.getFirstHeader("X-Priority-Class");
         turnedAway.told(requestClass == null ? null : requestClass.getValue(), status);
@@ -200,7 +203,10 @@
                 (why + "\n").getBytes(StandardCharsets.US_ASCII));
     }
 
-    /** By the connection's handler, once all at hand was read; a client that has gone by then is not heard. */
+    /**
+     * Hands the request to the front. Called by the connection's handler once all available input was read; the request is
+     * dropped if the client has gone by then.
+     */
     void dispatch() {
         if (over.get()) {
             return;
@@ -208,7 +214,7 @@
         answered = true;
         Map<String, String> headers = new HashMap<>();
         for (Header header : request.getHeaders()) {
-            // as one list, so that two ids or spans are none, and not the first of them
+            // repeated headers are joined, so that two IDs or timeouts are invalid instead of the first one winning
             headers.merge(header.getName().toLowerCase(Locale.ROOT), header.getValue(), (a, b) -> a + ", " + b);
         }
         try {
@@ -222,7 +228,7 @@
                             queued),
                     this);
         } catch (RuntimeException | Error e) { // HttpCore would close the connection without an answer
-            LOG.log(Level.SEVERE, "a front failed on a request", e);
+            LOG.log(Level.SEVERE, "a front failed to accept a request", e);
             whole(500, "text/plain", Map.of("Connection", "close"), "failed\n".getBytes(StandardCharsets.US_ASCII));
         }
         if (over.get()) {
@@ -261,7 +267,7 @@
 
     @Override
     public void write(byte[] bytes, Runnable drained) {
-        // a server's window does not hold where it sends faster than we read: HttpCore reads on while there is anything
+        // a fast server can exceed its receive window, as HttpCore reads on while data is available; hence this limit
         if (waiting.addAndGet(bytes.length) > MOST_WAITING) {
             client.session.close(CloseMode.GRACEFUL);
             return;
@@ -301,7 +307,10 @@
         return pieces.isEmpty() && last == Last.NONE ? 0 : 1;
     }
 
-    /** By the reactor, and by whoever sends the head; of two at once the second leaves its turn to the first. */
+    /**
+     * Called by the reactor and by the thread that sends the head; a concurrent second call returns at once, and the first
+     * then writes once more.
+     */
     @Override
     public void produce(DataStreamChannel channel) throws IOException {
         output = channel;
@@ -321,7 +330,7 @@
         int written = 0;
         while (piece != null) {
             if (written > MOST_A_TURN) {
-                return; // guards against a server and a client so quick that there is always more to write
+                return; // a fast server and client could keep this thread writing for ever
             }
             int count = piece.bytes().hasRemaining() ? channel.write(piece.bytes()) : 0;
             if (count == 0 && piece.bytes().hasRemaining()) {
@@ -338,23 +347,22 @@
             piece = pieces.peek();
         }
         if (state == Last.WHOLE && over.compareAndSet(false, true)) {
-            // first the end goes to HttpCore: this may be the actors' thread, and the reactor's would see a connection
-            // with
-            // nothing left to write and close it, or a stop see nothing open
+            // endStream comes before releaseRequest(): this may be the actors' thread, and in between the reactor's thread
+            // would see a connection with nothing left to write and close it, or a stop would find no open request
             client.ending = closing || client.ending;
             channel.endStream(null);
             ended();
             if (closing) {
-                // HttpCore itself does not where more requests of this connection wait for their turn; where the head
-                // promised more before a drain began, the next request may be on its way: its answer says so, or else
-                // the connection is closed once it is idle
+                // HttpCore does not close while more requests are pipelined on this connection. If the head was sent
+                // before a drain began, it announced no close and the next request may be on its way: then its answer
+                // announces the close, or the connection is closed once it is idle
                 client.closeAt = clock.instant().plus(unread ? LINGER : Duration.ZERO);
                 client.lingers = unread;
-                client.wake(); // the reactor may have written the end by now
+                client.wake(); // the reactor may already have written the end
             }
         } else if (state == Last.CUT) {
             if (cutSeen) {
-                // no last chunk: the client must see that the stream is not whole
+                // no last chunk: the client must see that the stream is incomplete
                 if (over.compareAndSet(false, true)) {
                     ended();
                 }
--- a/src/test/java/copperbeam/transport/AcceptorTest.java
+++ b/src/test/java/copperbeam/transport/AcceptorTest.java
@@ -12,7 +12,10 @@
 public class AcceptorTest {
     private static final InetSocketAddress ANY = new InetSocketAddress("127.0.0.1", 0);
 
-    /** A connection is there that nobody takes, as the reactor has ended: two hundred such threads took a whole core. */
+    /**
+     * A connection waits that is never accepted, as the reactor has ended. An acceptor thread that keeps polling after
+     * abandon() wastes CPU time: two hundred of them used a whole core.
+     */
     @SuppressWarnings("try") // the connection only waits to be accepted
     @Test
     public void itsThreadEndsThoughNobodyTakesWhatIsThere() throws Exception {
@@ -27,12 +30,12 @@
                 },
                 (channel, queuedSince) -> {});
         try (SocketChannel client = SocketChannel.open(acceptor.address())) {
-            asked.await(); // it has waited at least once
+            asked.await(); // the acceptor has polled and waited at least once
             acceptor.abandon();
             for (int i = 0; i < 1000 && !acceptor.ended(); i++) {
                 TimeUnit.MILLISECONDS.sleep(10);
             }
-            assertTrue(acceptor.ended(), "its thread goes on");
+            assertTrue(acceptor.ended(), "the acceptor's thread did not end after abandon()");
         }
     }
 }
--- a/src/test/java/copperbeam/transport/DescriptorBudgetTest.java
+++ b/src/test/java/copperbeam/transport/DescriptorBudgetTest.java
@@ -13,21 +13,24 @@
     private static final int LIMIT = 256;
     private static final int IDLE = 20;
 
-    /** Open descriptors, connections to servers, open requests; then how many clients are granted, and what else may begin. */
+    /**
+     * Columns: open descriptors, connections to servers, open requests; expected: clients granted, whether one more request
+     * may begin, whether one more connection to a server may be opened.
+     */
     @DataProvider
     public Object[][] states() {
         return new Object[][] {
             {200, 20, 0, 32, true, true},
-            {200, 0, 0, 12, true, true}, // idle connections may be opened yet
-            {232, 20, 0, 0, true, true}, // who has connected is still served
+            {200, 0, 0, 12, true, true}, // the allowed idle connections may still be opened
+            {232, 20, 0, 0, true, true}, // no new client, but connected clients are still served
             {239, 20, 0, 0, true, true},
-            {240, 20, 0, 0, false, true}, // and who is served is still sent on
+            {240, 20, 0, 0, false, true}, // no new request, but open requests may still connect to servers
             {247, 20, 0, 0, false, true},
             {248, 20, 0, 0, false, false},
-            {Integer.MAX_VALUE, 20, 0, 0, false, false}, // no descriptor was left to count with
-            {190, 20, 40, 2, true, true}, // each request is about to open one more
-            {190, 60, 40, 42, true, true}, // each has it
-            {190, 45, 40, 27, true, true}, // some of those there are idle
+            {Integer.MAX_VALUE, 20, 0, 0, false, false}, // no descriptor was left to count the open ones with
+            {190, 20, 40, 2, true, true}, // each request is about to open a connection
+            {190, 60, 40, 42, true, true}, // each request has its connection
+            {190, 45, 40, 27, true, true}, // some of the connections are idle
             {210, 20, 40, 0, false, true}
         };
     }
@@ -42,7 +45,7 @@
                 IntStream.range(0, LIMIT).filter(i -> budget.grants(requests)).count(), granted);
     }
 
-    /** Connections that are opened between two readings count at once. */
+    /** Connections opened between two readings of the system's count are counted at once. */
     @Test
     public void connectionsCountAsTheyAreOpened() {
         AtomicInteger connections = new AtomicInteger();
@@ -53,7 +56,7 @@
         assertEquals(connections.get(), 10);
     }
 
-    /** A closed connection's descriptor counts until the system has it back. */
+    /** A closed connection's descriptor counts until the system no longer counts it. */
     @Test
     public void whatHasClosedIsGrantedOnceTheSystemSaysSo() {
         AtomicLong open = new AtomicLong(232);
--- a/src/test/java/copperbeam/transport/FairTurnTest.java
+++ b/src/test/java/copperbeam/transport/FairTurnTest.java
@@ -12,9 +12,9 @@
 
 public class FairTurnTest {
     private static final int EVENT = 1000;
-    private static final int MOST_EVENTS = 1000; // a turn that has written so many would go on for good
+    private static final int MOST_EVENTS = 1000; // a single call that writes so many would never end
 
-    /** A server and a client that are quicker than we are: for each event that is taken another has come. */
+    /** A fast server and client: whenever an event is written, the next one is already available. */
     @Test
     public void aTurnOfOutputEnds() throws Exception {
         IOSession session = (IOSession) Proxy.newProxyInstance(
@@ -46,7 +46,7 @@
                 });
         exchange.write(new byte[EVENT], null);
         exchange.produce(channel);
-        assertTrue(events.get() < MOST_EVENTS, "a turn wrote " + events + " events");
-        assertTrue(exchange.available() > 0, "the rest is for the next turn");
+        assertTrue(events.get() < MOST_EVENTS, "one produce() call wrote " + events + " events");
+        assertTrue(exchange.available() > 0, "the rest must stay available for the next call");
     }
 }
--- a/src/test/java/copperbeam/transport/LastByteTest.java
+++ b/src/test/java/copperbeam/transport/LastByteTest.java
@@ -23,9 +23,12 @@
 import org.apache.hc.core5.util.Timeout;
 import org.testng.annotations.Test;
 
-/** Whether a request's last byte has left, turn by turn of the reactor, on a system that a test plays. */
+/**
+ * Checks that the outcome reported for a request is right about whether its last byte was sent. Runs the reactor's turns one by
+ * one on a simulated socket.
+ */
 public class LastByteTest {
-    /** Takes and gives what a test says, as the system does for a socket that does not block. */
+    /** Simulates a non-blocking socket of the operating system, as the test scripts it. */
     private static final class System {
         final Queue<Command> commands = new ArrayDeque<>();
         final ReentrantLock lock = new ReentrantLock();
@@ -36,10 +39,10 @@
         final IOEventHandler handler;
         final StringBuilder taken = new StringBuilder();
         int room = Integer.MAX_VALUE;
-        boolean reset; // known to the system alone
+        boolean reset; // by the peer; not yet noticed by the reactor
         boolean ended;
         boolean open = true;
-        String answer = ""; // unread yet
+        String answer = ""; // received from the server, but not read yet
 
         System() throws IOException {
             handler = ClientReactor.handler(session, new ClientReactor.Life() {
@@ -92,7 +95,7 @@
             return bytes.length;
         }
 
-        /** As the reactor does: what a turn throws ends the connection. */
+        /** Runs one turn as the reactor does: an exception ends the connection. */
         void turn(boolean input) {
             try {
                 if (input) {
@@ -154,7 +157,7 @@
         return exchange;
     }
 
-    /** To where HttpCore has the last byte and hands it on with the next turn. */
+    /** Runs a request up to the point where HttpCore buffers its last byte and would send it in the next turn. */
     private static Exchange untilItGoes(System system) {
         Exchange exchange = begin(system, true);
         system.turn(false);
@@ -165,7 +168,10 @@
         return exchange;
     }
 
-    /** The hold was told of while the head was still here: what the reactor took to send it was taken off the hold. */
+    /**
+     * Guards against reporting the hold while HttpCore still buffers the head, which counted the time to send the head as part
+     * of the hold.
+     */
     @Test
     public void theHoldBeginsOnceAllElseHasLeft() throws Exception {
         System system = new System();
@@ -182,7 +188,7 @@
         assertTrue(system.taken.toString().endsWith(BODY.substring(0, BODY.length() - 1)));
     }
 
-    /** HttpCore had the last byte and could not hand it on: that was told as if it had left. */
+    /** Guards against counting the last byte as sent when HttpCore had buffered it but failed to write it to the socket. */
     @Test
     public void aByteThatFailsToLeaveHasNotRun() throws Exception {
         for (boolean hold : new boolean[] {true, false}) {
@@ -222,7 +228,10 @@
         }
     }
 
-    /** A write would not fail: what came since the select must be looked at, or the byte goes to who has left. */
+    /**
+     * The server has closed the connection since the select. A write would still succeed, so input must be read before the last
+     * byte is sent.
+     */
     @Test
     public void theByteStaysWhereTheServerHasEnded() throws Exception {
         System system = new System();
@@ -233,7 +242,7 @@
         assertTrue(system.taken.toString().endsWith(BODY.substring(0, BODY.length() - 1)));
     }
 
-    /** A client that goes while the byte waits, here or for room in the system: it must not leave any more. */
+    /** If the client goes away while the last byte is held back or waits for buffer space, the byte must not be sent. */
     @Test
     public void theByteStaysWhereNobodyWaitsForItAnyMore() throws Exception {
         for (int at = 0; at < 3; at++) {
@@ -256,7 +265,7 @@
 
     private static final String REFUSAL = "HTTP/1.1 503 Busy\r\nX-Not-Processed: 1\r\nContent-Length: ";
 
-    /** The outcome is settled by then: a last byte that followed would begin what counts as not begun. */
+    /** The early response decides the outcome; sending the last byte after it would start a request that counts as not started. */
     @Test
     public void theByteStaysBehindAnAnswer() throws Exception {
         for (String answer : List.of("0\r\n\r\n", "2\r\n\r\nno", "2\r\n\r\n")) {
@@ -285,7 +294,7 @@
         }
     }
 
-    /** On a connection that has carried a call, what comes before the last byte left is a second answer to that call. */
+    /** On a reused connection, a response that comes before the last byte was sent is a second response to the previous call. */
     @Test
     public void aLateSecondAnswerIsNoAnswerToTheNextCall() throws Exception {
         for (int at = 0; at < 2; at++) {
--- a/src/test/java/copperbeam/transport/ListenQueueAgeTest.java
+++ b/src/test/java/copperbeam/transport/ListenQueueAgeTest.java
@@ -29,7 +29,7 @@
         now.set(START);
     }
 
-    /** The first connection may have waited from the beginning, the second one only from the marker between them on. */
+    /** The first connection may have waited since the start, the second one only since the marker between them was sent. */
     @Test
     public void whoIsAcceptedBehindAMarkerCameLater() throws Exception {
         try (ServerSocketChannel listener = ServerSocketChannel.open().bind(new InetSocketAddress("127.0.0.1", 0));
@@ -43,7 +43,7 @@
             try (SocketChannel second = SocketChannel.open(listener.getLocalAddress())) {
                 assertFalse(age.takeMarker(accept(listener, first)));
                 assertEquals(age.waitingSince(), START);
-                assertTrue(age.takeMarker(listener.accept()), "the marker");
+                assertTrue(age.takeMarker(listener.accept()), "the second accepted connection is not the marker");
                 assertFalse(age.takeMarker(accept(listener, second)));
                 assertEquals(age.waitingSince(), START.plus(STEP));
             }
@@ -53,7 +53,7 @@
         }
     }
 
-    /** The system drops the marker, as where the queue is full, or deals it to another process: a later one tells. */
+    /** A marker is lost, as the queue was full or another process accepted it: a later marker is still recognized. */
     @Test
     public void aLostMarkerHoldsNothingUp() throws Exception {
         try (ServerSocketChannel listener = ServerSocketChannel.open().bind(new InetSocketAddress("127.0.0.1", 0));
@@ -61,10 +61,10 @@
             age.filled();
             now.set(START.plus(STEP));
             age.mark();
-            listener.accept().close(); // elsewhere
+            listener.accept().close(); // as if another process had accepted it
             now.set(START.plus(STEP.multipliedBy(2)));
             age.mark();
-            assertTrue(age.takeMarker(listener.accept()), "the second marker");
+            assertTrue(age.takeMarker(listener.accept()), "the accepted connection is not the second marker");
             assertEquals(age.waitingSince(), now.get());
         }
     }
