--- a/src/main/java/copperbeam/protocol/BadRequest.java
+++ b/src/main/java/copperbeam/protocol/BadRequest.java
@@ -1,6 +1,6 @@
 package copperbeam.protocol;
 
-/** What a client got wrong; answered with a plain 4xx before anything is attempted. */
+/** An invalid request of a client; answered with a plain 4xx before any server is involved. */
 public final class BadRequest extends Exception {
     private static final long serialVersionUID = 1L;
     private final int status;
--- a/src/main/java/copperbeam/protocol/EventSplitter.java
+++ b/src/main/java/copperbeam/protocol/EventSplitter.java
@@ -7,25 +7,29 @@
 import java.util.function.Consumer;
 
 /**
- * Cuts a stream of server-sent events after each blank line; every byte stays as it came. What has no event's
- * form ends it: guards against passing on the sizes of chunks, or noise, where a server has lost its count.
+ * Splits a stream of server-sent events after each blank line, without changing any byte. Input that isn't in the format of
+ * events is rejected, so that chunk sizes or other noise from a server with broken framing never reach a client.
  */
 public final class EventSplitter {
-    private static final int MOST = 32 * 1024; // bytes of one event; below the window that a server may fill unasked
-    private static final int FIELD = 6; // bytes of a line's beginning that tell its field
+    private static final int MOST = 32 * 1024; // bytes of one event; below the initial receive window of 65,535 bytes
+    private static final int FIELD = 6; // bytes kept of a line, enough for the longest field name and its colon
     private static final List<byte[]> FIELDS = List.of(ascii("data"), ascii("event"), ascii("id"), ascii("retry"));
 
     private final ByteArrayOutputStream part = new ByteArrayOutputStream();
     private final byte[] line = new byte[FIELD];
-    private int length; // of the line under way, without its end
-    private boolean filled; // a field has come since the last cut
-    private boolean carriage; // its last byte so far is a carriage return
+    private int length; // of the current line so far; its line break doesn't count
+    private boolean filled; // the current event has a field or a comment
+    private boolean carriage; // the last byte of the current line so far is a carriage return
 
     private static byte[] ascii(String text) {
         return text.getBytes(StandardCharsets.US_ASCII);
     }
 
-    /** False where this is no stream of events; what was whole before that has been handed on. */
+    /**
+     * Takes the next bytes of the stream and passes on each event that is now complete.
+     *
+     * @return false if the input isn't a stream of events; events that were complete before were passed on
+     */
     public boolean take(ByteBuffer bytes, Consumer<byte[]> event) {
         while (bytes.hasRemaining()) {
             byte b = bytes.get();
@@ -37,7 +41,7 @@
                 } else if (length > 0) {
                     filled = true;
                 } else if (filled) {
-                    // empty lines alone are no event: they go with the next one, once that has proved to be one
+                    // blank lines alone are no event; they are passed on as part of the next one
                     cut(event);
                 }
                 length = 0;
@@ -56,7 +60,7 @@
         return true;
     }
 
-    /** What is left at the end of the stream; false where it is no part of one. */
+    /** Passes on what is left at the end of the stream. Returns false if that isn't a part of an event. */
     public boolean end(Consumer<byte[]> rest) {
         if (length > 0 && !field()) {
             return false;
@@ -65,7 +69,7 @@
         return true;
     }
 
-    /** A comment, or a field that events have, with a colon or by itself. */
+    /** Whether the current line is a comment or a known field, with a colon or without. */
     private boolean field() {
         if (line[0] == ':') {
             return true;
--- a/src/main/java/copperbeam/protocol/Front.java
+++ b/src/main/java/copperbeam/protocol/Front.java
@@ -1,7 +1,7 @@
 package copperbeam.protocol;
 
-/** What stands before the core for one dialect of clients. */
+/** An HTTP API through which clients use the core. */
 public interface Front {
-    /** Answers a request at once or later; the returned runs if the client goes away before that. */
+    /** Answers a request now or later. The caller runs the returned callback if the client goes away before that. */
     Runnable accept(HttpCall call, HttpReply reply);
 }
--- a/src/main/java/copperbeam/protocol/HttpCall.java
+++ b/src/main/java/copperbeam/protocol/HttpCall.java
@@ -6,17 +6,17 @@
 import java.util.Map;
 
 /**
- * A whole HTTP request as it came from a client.
+ * A complete HTTP request of a client.
  *
- * @param headers by names in lower case
- * @param arrived when its first byte was read
- * @param queued how long it may have waited before that, behind a connection that was not accepted yet
+ * @param headers the keys are in lower case
+ * @param arrivedAt when its first byte was read
+ * @param maxQueueTime how long it may have waited before that because its connection wasn't accepted yet
  */
 public record HttpCall(
         String method, String target, Map<String, String> headers, byte[] body, Instant arrived, Duration queued)
         implements Ask.Payload {
 
-    /** One that was read as it came. */
+    /** Creates a request that didn't wait for its connection to be accepted. */
     public HttpCall(String method, String target, Map<String, String> headers, byte[] body, Instant arrived) {
         this(method, target, headers, body, arrived, Duration.ZERO);
     }
@@ -26,12 +26,12 @@
         return query < 0 ? target : target.substring(0, query);
     }
 
-    /** Of each dialect: whether we are ready. */
+    /** Whether this is a request for the health of this process, which each front answers. */
     public boolean asksForHealth() {
         return path().equals("/healthz");
     }
 
-    /** Whether {@code X-Retried} tells of a client that asks for the rest of a broken stream; such a one has run. */
+    /** Whether {@code X-Retried} has the value of a client that asks for the rest of a broken stream; such a request has run. */
     public static boolean resumes(String retried) {
         return "again".equals(retried);
     }
--- a/src/main/java/copperbeam/protocol/HttpClient.java
+++ b/src/main/java/copperbeam/protocol/HttpClient.java
@@ -6,20 +6,20 @@
 import java.time.Duration;
 import java.util.function.Consumer;
 
-/** Plain calls to services beside the servers, such as discovery. */
+/** Makes HTTP calls to services other than the servers, such as discovery. */
 public interface HttpClient {
-    /** {@code connect}: until it is up; {@code silence}: fails after so long without a byte. */
+    /** {@code connectTimeout}: time limit to connect; {@code silenceTimeout}: a call fails after this time without a byte. */
     record Patience(Duration connect, Duration silence) {}
 
-    /** The returned ends the call early. */
+    /** Makes a call. The returned callback cancels it. */
     Runnable send(
             InetSocketAddress to, String method, String target, byte[] body, Patience patience, Response response);
 
-    /** The last call is {@code end} or {@code failed}. */
+    /** Receives the response; the last notification is {@code end} or {@code failed}. */
     interface Response {
         void head(int status);
 
-        /** What it throws ends the call as failed. */
+        /** Receives a part of the body. If it throws, the call fails. */
         void data(byte[] bytes) throws IOException;
 
         void end();
@@ -27,10 +27,13 @@
         void failed(String why);
     }
 
-    /** {@code status} 0: there was no whole answer, and {@code fault} says why; else that is null. */
+    /** A complete response; or, with {@code status} 0, none, and {@code failure} says why (else it is null). */
     record Answer(int status, byte[] body, String fault) {}
 
-    /** A whole answer, as most calls want it, of at most {@code most} bytes: one without end would take all memory. */
+    /**
+     * Makes a call and collects the response. A body above {@code maxBodyBytes} fails the call, as an endless one would fill
+     * the memory.
+     */
     default Runnable whole(
             InetSocketAddress to,
             String method,
--- a/src/main/java/copperbeam/protocol/HttpReply.java
+++ b/src/main/java/copperbeam/protocol/HttpReply.java
@@ -2,23 +2,23 @@
 
 import java.util.Map;
 
-/** The way back to a client; from any thread, one call at a time. */
+/** Sends the response to a client's request. The methods may be called from any thread, but not concurrently. */
 public interface HttpReply {
-    /** A whole answer. */
+    /** Sends a complete response. */
     void whole(int status, String contentType, Map<String, String> headers, byte[] body);
 
-    /** The head of a stream. */
+    /** Sends the head of a streamed response. */
     void begin(String contentType, Map<String, String> headers);
 
-    /** {@code drained} runs once the connection has taken the bytes. */
+    /** Sends a part of a streamed response. {@code onDrained} is run once the connection has taken the bytes. */
     void write(byte[] bytes, Runnable drained);
 
-    /** The stream's last chunk. */
+    /** Ends the stream with its last chunk. */
     void end();
 
-    /** Closes the connection once what was written is out, without a last chunk. */
+    /** Closes the connection after everything written was sent, without a last chunk, so that the client sees a broken stream. */
     void abort();
 
-    /** The client has gone away before its answer was whole. */
+    /** Whether the client went away before its response was complete. */
     boolean gone();
 }
--- a/src/main/java/copperbeam/protocol/Json.java
+++ b/src/main/java/copperbeam/protocol/Json.java
@@ -17,24 +17,24 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Gson as this program sets it up. */
+/** JSON parsing and writing with Gson, strict and with a limit on nesting. */
 public final class Json {
-    /** Whole numbers stay whole, as the settings' decoder wants them. */
+    /** Reads whole numbers as Long, not Double, as the decoder of the settings requires. */
     public static final Gson GSON = new GsonBuilder()
             .setObjectToNumberStrategy(ToNumberPolicy.LONG_OR_DOUBLE)
             .disableHtmlEscaping()
             .serializeNulls()
             .create();
 
-    private static final int MOST_DEPTH = 128; // a tool's schema has some ten
+    private static final int MOST_DEPTH = 128; // levels; the schema of a tool in a chat request has about ten
 
     private Json() {}
 
-    /** One JSON text and nothing more; throws {@link IllegalArgumentException} with what is wrong. */
+    /** Parses exactly one JSON value; throws {@link IllegalArgumentException} with the problem if it can't. */
     public static JsonElement strict(String text) {
         try {
             JsonReader reader = new JsonReader(new StringReader(text));
-            reader.setStrictness(Strictness.STRICT); // the lenient one takes unquoted texts and '=' for ':'
+            reader.setStrictness(Strictness.STRICT); // lenient parsing accepts unquoted strings, and '=' for ':'
             JsonElement all = JsonParser.parseReader(reader);
             if (reader.peek() != JsonToken.END_DOCUMENT) {
                 throw new IllegalArgumentException("more than one JSON text");
@@ -46,7 +46,7 @@
         }
     }
 
-    /** Guards a thread's stack: Gson copies and writes what stands in one another by recursion. */
+    /** Whether the nesting exceeds the limit. Gson copies and writes nested values recursively, which could overflow the stack. */
     public static boolean nestsTooDeep(JsonElement all) {
         List<JsonElement> level = List.of(all);
         for (int i = 0; i <= MOST_DEPTH && !level.isEmpty(); i++) {
@@ -63,7 +63,7 @@
         return !level.isEmpty();
     }
 
-    /** Whether a body is one JSON object and nothing more. */
+    /** Whether a body is exactly one JSON object. */
     public static boolean isObject(byte[] body) {
         try (JsonReader reader =
                 new JsonReader(new InputStreamReader(new ByteArrayInputStream(body), StandardCharsets.UTF_8))) {
--- a/src/main/java/copperbeam/protocol/discovery/DiscoveryWatch.java
+++ b/src/main/java/copperbeam/protocol/discovery/DiscoveryWatch.java
@@ -18,13 +18,13 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.logging.Logger;
 
-/** The platform's discovery: makes the calls that a {@link WatchPlan} asks for and tells it what comes back. */
+/** Reads the server list from the platform's discovery service: makes the calls that a {@link WatchPlan} asks for. */
 public final class DiscoveryWatch implements MembershipSource {
     private static final Logger LOG = Logger.getLogger(DiscoveryWatch.class.getName());
     private static final HttpClient.Patience PATIENCE = new HttpClient.Patience(WatchPlan.CONNECT, WatchPlan.TOLD);
-    private static final int MOST = 256 * 1024; // the protocol's, for every body
-    private static final int MOST_LINES = 16; // of the log, from one good answer to the next
-    private static final int LONGEST_LINE = 200; // of what an answer may have in its own words
+    private static final int MOST = 256 * 1024; // the protocol's limit for every body
+    private static final int MOST_LINES = 16; // distinct log lines between two good responses
+    private static final int LONGEST_LINE = 200; // as the text may come from a response
 
     private sealed interface Message permits Move, Answered, Late, Woken, Stop {}
 
@@ -43,7 +43,7 @@
     private final class Watcher extends Actor<Message> {
         private final WatchPlan plan;
         private final Map<Integer, Out> out = new HashMap<>();
-        private final Set<String> said = new HashSet<>(); // what was wrong since the last good answer
+        private final Set<String> said = new HashSet<>(); // since the last good response
         private Sink sink;
         private boolean stopped;
 
@@ -94,7 +94,7 @@
             try {
                 ServerList list = ServerList.parse(new String(a.body(), StandardCharsets.UTF_8));
                 if (ask.from() < 0 && !list.full()) {
-                    throw new IllegalArgumentException("changes where the whole list was asked for");
+                    throw new IllegalArgumentException("only changes, although the full list was requested");
                 }
                 List<WatchPlan.Step> steps = plan.answered(
                         ask.call(),
@@ -103,7 +103,7 @@
                 if (list.full()
                         && list.entries().isEmpty()
                         && steps.stream().noneMatch(WatchPlan.Tell.class::isInstance)) {
-                    say(ask, "names no server, where there were some");
+                    say(ask, "the list is empty, although servers were known before");
                 } else {
                     said.clear();
                 }
@@ -113,17 +113,17 @@
             }
         }
 
-        /** Nothing of it is taken. */
+        /** Handles a failed or invalid response, of which nothing is used. {@code versionGone}: its status is 4xx. */
         private List<WatchPlan.Step> bad(WatchPlan.Ask ask, boolean gone, String why) {
             say(ask, why);
             return plan.failed(ask.call(), gone);
         }
 
-        /** Once for each reason: in an outage some ten calls a second may fail alike. */
+        /** Logs each distinct problem once, because in an outage about ten calls per second may fail for the same reason. */
         private void say(WatchPlan.Ask ask, String why) {
             String line = "discovery at " + ask.at() + ": " + why.replaceAll("\\p{Cntrl}", " ");
             if (said.size() < MOST_LINES && said.add(line)) {
-                LOG.warning(line.substring(0, Math.min(LONGEST_LINE, line.length())) + "; the list stays as it is");
+                LOG.warning(line.substring(0, Math.min(LONGEST_LINE, line.length())) + "; the server list is unchanged");
             }
         }
 
@@ -131,7 +131,7 @@
             takeAll(steps.iterator());
         }
 
-        /** Each, whatever becomes of those before it: without the next call and its timer the watch would be over. */
+        /** Carries out each action even if an earlier one throws: without the next call and its timer the watch would stop. */
         private void takeAll(Iterator<WatchPlan.Step> steps) {
             if (steps.hasNext()) {
                 try {
@@ -182,7 +182,7 @@
                                     PATIENCE,
                                     MOST,
                                     answer -> tell(new Answered(s.call(), answer)))));
-            tellLater(WatchPlan.TOLD, new Late(s.call())); // a byte now and then keeps no call
+            tellLater(WatchPlan.TOLD, new Late(s.call())); // also ends a call that trickles bytes
         }
     }
 
@@ -193,8 +193,8 @@
     private final Watcher watcher;
 
     /**
-     * {@code known}: a list of the same discovery's from before, or null. {@code servers}: there were some when a list
-     * was last had.
+     * {@code knownList}: an earlier list of the same discovery service, or null. {@code serversExpected}: the last known list
+     * had servers.
      */
     public DiscoveryWatch(
             ScheduledExecutorService turns,
@@ -216,7 +216,7 @@
         watcher.tell(new Move(agent, sink));
     }
 
-    /** Goes on at another address, as a new configuration names it. */
+    /** Switches to another address of the discovery service, after a change of the configuration. */
     public void move(InetSocketAddress to) {
         watcher.tell(new Move(to, null));
     }
--- a/src/main/java/copperbeam/protocol/discovery/ServerList.java
+++ b/src/main/java/copperbeam/protocol/discovery/ServerList.java
@@ -17,9 +17,12 @@
 import java.util.List;
 import java.util.function.Predicate;
 
-/** Discovery's answers. Nothing is taken for what it is not: a number in quotes is no number, an id without quotes none. */
+/**
+ * A response of the discovery service: the full server list or changes of it. Types are checked strictly: a number in quotes
+ * is not a number, and an id without quotes is not an id.
+ */
 public record ServerList(long version, boolean full, List<Entry> entries) {
-    /** Throws {@link IllegalArgumentException} with what is wrong, with the list or one of its servers. */
+    /** Throws {@link IllegalArgumentException} with the problem if the list or one of its servers is invalid. */
     public static ServerList parse(String json) {
         JsonObject list = object(Json.strict(json), "the list");
         if (!list.has("servers") || !list.get("servers").isJsonArray()) {
@@ -42,7 +45,7 @@
         return new Change(kind, entries);
     }
 
-    /** One server as discovery writes it. Throws {@link IllegalArgumentException} with what is wrong with it. */
+    /** Parses one server in the format of discovery. Throws {@link IllegalArgumentException} with the problem if it is invalid. */
     public static Entry entry(String id, JsonObject s) {
         if (id == null || id.isEmpty()) {
             throw new IllegalArgumentException("a server without an id");
@@ -81,7 +84,7 @@
         }
     }
 
-    /** For an entry that says no more than that the server has left. */
+    /** Returns an entry that only says that the server has left. */
     public static Entry left(String id) {
         JsonObject left = new JsonObject();
         left.addProperty("state", "left");
@@ -109,7 +112,7 @@
         }
     }
 
-    /** Null where the key is absent or null. */
+    /** Returns the value of a key, or null if the key is absent or its value is null. */
     private static JsonPrimitive value(JsonObject o, String key, Predicate<JsonPrimitive> right, String form) {
         JsonElement value = o.get(key);
         if (value == null || value.isJsonNull()) {
@@ -121,10 +124,10 @@
         return value.getAsJsonPrimitive();
     }
 
-    // four numbers of at most 255: the system would look up any other as a name, and hold up all actors meanwhile
+    // Four numbers of at most 255. Anything else would be looked up in DNS, which blocks all actors meanwhile.
     private static final String V4 = "((25[0-5]|2[0-4]\\d|1?\\d?\\d)(\\.(?!$)|$)){4}";
 
-    /** {@code host:port}; the host is an address, as there are no names to look up. */
+    /** Parses {@code host:port}. The host must be an IP address or localhost, as the platform has no DNS. */
     public static InetSocketAddress address(String text) {
         int colon = text.lastIndexOf(':');
         try {
--- a/src/main/java/copperbeam/protocol/discovery/package-info.java
+++ b/src/main/java/copperbeam/protocol/discovery/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The platform's discovery service as the source of the list of servers. Parses its answers and makes the long-polling
- * calls that {@link copperbeam.membership.WatchPlan} asks for.
+ * Reads the server list from the platform's discovery service. Makes the long-polling calls that
+ * {@link copperbeam.membership.WatchPlan} asks for, and parses their responses.
  */
 package copperbeam.protocol.discovery;
--- a/src/main/java/copperbeam/protocol/etcd/EtcdMembership.java
+++ b/src/main/java/copperbeam/protocol/etcd/EtcdMembership.java
@@ -12,14 +12,13 @@
 import java.util.logging.Logger;
 
 /**
- * The list of servers from etcd: a range for the whole of it, then a watch from the revision after. A watch
- * that breaks goes on from the revision after the last seen; one that etcd has compacted away begins anew
- * with a range.
+ * Reads the server list from etcd: the full list by a range request, then changes by a watch from the next revision. A watch
+ * that breaks is resumed after the last revision seen. If etcd has compacted that revision, the full list is read again.
  */
 public final class EtcdMembership implements MembershipSource {
     private static final Logger LOG = Logger.getLogger(EtcdMembership.class.getName());
     private static final HttpClient.Patience PATIENCE = new HttpClient.Patience(WatchPlan.CONNECT, WatchPlan.HOLD);
-    private static final int MOST = 1 << 20; // of a range, in base64; etcd refuses larger requests itself
+    private static final int MOST = 1 << 20; // of a range response, in base64; etcd itself rejects larger requests
     private static final Duration AGAIN = Duration.ofMillis(200);
 
     private sealed interface Message permits Start, Listed, Data, Ended, Again, Stop {}
@@ -70,7 +69,7 @@
             }
         }
 
-        /** What can't be read ends the call; the list so far stays. */
+        /** Runs the step. If it meets malformed data, ends the call and retries with the full list; the known list stays. */
         private void guarded(Runnable step) {
             try {
                 step.run();
@@ -89,9 +88,8 @@
 
         private void ask() {
             int mine = ++call;
-            // each call is made anew after so long, whatever has come of it: a silent one, or one that dribbles, can't
-            // be
-            // told from one that has nothing to say, and a watch goes on from its revision
+            // Each call is replaced after this time, whatever became of it: one that hangs or trickles can't be told
+            // from one that has nothing to report. A watch resumes from its revision.
             tellLater(WatchPlan.HOLD, new Ended(mine));
             if (!listed) {
                 cancel = client.whole(
@@ -156,7 +154,7 @@
             }
             EtcdWire.Change change = EtcdWire.change(prefix, line);
             if (change.over()) {
-                // compacted: what happened in between can't be told any more
+                // compacted: the changes in between are no longer available
                 listed = false;
                 later();
                 return;
@@ -174,7 +172,7 @@
     private final String prefix;
     private final Watcher watcher;
 
-    /** {@code prefix} ends in a slash. */
+    /** {@code prefix}: of the keys of all servers; ends in a slash. */
     public EtcdMembership(
             ScheduledExecutorService turns, HttpClient client, InetSocketAddress endpoint, String prefix) {
         this.client = client;
--- a/src/main/java/copperbeam/protocol/etcd/EtcdWire.java
+++ b/src/main/java/copperbeam/protocol/etcd/EtcdWire.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** The bodies of etcd's JSON gateway: keys and values in base64, 64-bit numbers as strings. */
+/** Builds and parses the bodies of etcd's JSON gateway, where keys and values are in base64 and 64-bit numbers are strings. */
 final class EtcdWire {
     private EtcdWire() {}
 
@@ -29,10 +29,10 @@
 
     private record WatchLine(WatchResult result, Object error) {}
 
-    /** The servers under a prefix as of a revision. */
+    /** The servers under a prefix at a revision. */
     record Listing(long revision, List<Entry> entries) {}
 
-    /** One line of a watch. {@code over}: the watch has ended, as after a compaction. */
+    /** One line of a watch. {@code ended}: the watch has ended, for example because of a compaction. */
     record Change(long revision, boolean over, List<Entry> entries) {}
 
     static byte[] range(String prefix) {
@@ -51,18 +51,18 @@
 
     private static Map<String, Object> span(String prefix) {
         byte[] end = bytes(prefix);
-        end[end.length - 1]++; // the first key behind all that begin so; a checked prefix ends in a slash
+        end[end.length - 1]++; // the first key after all with this prefix; no overflow, as the prefix ends in a slash
         Map<String, Object> span = new LinkedHashMap<>();
         span.put("key", Base64.getEncoder().encodeToString(bytes(prefix)));
         span.put("range_end", Base64.getEncoder().encodeToString(end));
         return span;
     }
 
-    /** Throws {@link IllegalArgumentException} where it is no answer to a range call. */
+    /** Parses the response to a range request; throws {@link IllegalArgumentException} if it is malformed. */
     static Listing listing(String prefix, byte[] body) {
         RangeAnswer answer = parse(body, RangeAnswer.class);
         if (answer == null || answer.header == null) {
-            throw new IllegalArgumentException("a range without a revision");
+            throw new IllegalArgumentException("range response without a revision");
         }
         List<Entry> entries = new ArrayList<>();
         for (KeyValue kv : answer.kvs == null ? List.<KeyValue>of() : answer.kvs) {
@@ -71,7 +71,7 @@
         return new Listing(answer.header.revision, entries);
     }
 
-    /** Throws {@link IllegalArgumentException} where it is no line of a watch. */
+    /** Parses one line of a watch; throws {@link IllegalArgumentException} if it is malformed or reports an error. */
     static Change change(String prefix, byte[] line) {
         WatchLine answer = parse(line, WatchLine.class);
         if (answer == null || answer.error != null || answer.result == null) {
@@ -81,7 +81,7 @@
         List<Entry> entries = new ArrayList<>();
         for (Event event : result.events == null ? List.<Event>of() : result.events) {
             if (event.kv == null) {
-                throw new IllegalArgumentException("an event without a key");
+                throw new IllegalArgumentException("watch event without a key");
             }
             entries.add(entry(prefix, event.kv, "DELETE".equals(event.type)));
         }
@@ -95,7 +95,7 @@
         try {
             return Json.GSON.fromJson(new String(body, StandardCharsets.UTF_8), type);
         } catch (JsonParseException e) {
-            throw new IllegalArgumentException("not the gateway's form: " + e.getMessage(), e);
+            throw new IllegalArgumentException("unexpected format of the JSON gateway's response: " + e.getMessage(), e);
         }
     }
 
@@ -103,7 +103,7 @@
         return new String(Base64.getDecoder().decode(base64 == null ? "" : base64), StandardCharsets.UTF_8);
     }
 
-    /** The key's end is the server's id; the value is its entry as platform discovery writes it. */
+    /** The rest of the key after the prefix is the server's id; the value is its entry in the format of platform discovery. */
     private static Entry entry(String prefix, KeyValue kv, boolean deleted) {
         String key = text(kv.key);
         String id = key.startsWith(prefix) ? key.substring(prefix.length()) : "";
@@ -112,7 +112,7 @@
                 : ServerList.entry(id, ServerList.object(Json.strict(text(kv.value)), "the entry of server " + id));
     }
 
-    /** Cuts lines out of a stream; what is left waits for more. */
+    /** Splits a stream into lines; an incomplete line is kept until the rest of it comes. */
     static final class Lines {
         private static final int MOST = 1 << 20;
         private byte[] rest = {};
@@ -130,7 +130,7 @@
             }
             rest = Arrays.copyOfRange(all, from, all.length);
             if (rest.length > MOST) {
-                throw new IllegalArgumentException("a line without end");
+                throw new IllegalArgumentException("line too long");
             }
             return lines;
         }
--- a/src/main/java/copperbeam/protocol/openai/ApiError.java
+++ b/src/main/java/copperbeam/protocol/openai/ApiError.java
@@ -5,7 +5,7 @@
 import copperbeam.protocol.Json;
 import java.nio.charset.StandardCharsets;
 
-/** An error in the chat API's form. */
+/** An error response of the chat API. */
 final class ApiError extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/copperbeam/protocol/openai/ChatAnswer.java
+++ b/src/main/java/copperbeam/protocol/openai/ChatAnswer.java
@@ -14,9 +14,9 @@
 import java.time.Instant;
 import java.util.Map;
 
-/** A server's events as the chat API gives them: a stream of chunks, or one completion. */
+/** Translates a server's events into a response of the chat API: a stream of chunks, or one completion. */
 final class ChatAnswer implements Answer {
-    private static final int MOST_CHARS = 1 << 20; // of a completion that is gathered
+    private static final int MOST_CHARS = 1 << 20; // of a completion that is collected for a client that doesn't stream
 
     private final HttpReply reply;
     private final ChatRequest request;
@@ -47,7 +47,7 @@
         }
     }
 
-    /** False for an event that is none of a chat stream: guards against passing on what no client can read. */
+    /** Returns false for an event that doesn't belong to a chat stream, so that the client doesn't get what it can't parse. */
     @Override
     public boolean event(byte[] raw, Runnable drained) {
         String data = SseData.of(raw);
@@ -57,7 +57,7 @@
         }
         if (data.equals("[DONE]") && request.stream() && !done) {
             done = true;
-            write(data, drained); // not with the end: its server may take its time over that
+            write(data, drained); // not only in end(): the server may end its stream much later
             return true;
         }
         if (data.equals("[DONE]")) {
@@ -138,7 +138,7 @@
     @Override
     public void end() {
         if (!done) {
-            // the server closed its stream in good order, but it was not a whole one
+            // the server ended its HTTP stream properly, but without "[DONE]"
             broken();
         } else if (request.stream()) {
             reply.end();
@@ -167,7 +167,7 @@
         ApiError error = ApiError.server(502, "stream_broken", "The answer broke off before it was whole.");
         if (request.stream()) {
             if (!done) {
-                write(error.json(), null); // behind the last event nobody reads it
+                write(error.json(), null); // clients read nothing after "[DONE]"
             }
             reply.abort();
         } else {
@@ -178,7 +178,7 @@
     @Override
     public void refuse(Duration retryAfter, boolean tried) {
         ApiError error = ApiError.refused(tried);
-        // this API's clients read whole seconds
+        // clients of this API expect whole seconds
         long seconds = Math.max(1, (retryAfter.toMillis() + 999) / 1000);
         reply.whole(error.status, "application/json", Map.of("Retry-After", Long.toString(seconds)), error.body());
     }
--- a/src/main/java/copperbeam/protocol/openai/ChatModels.java
+++ b/src/main/java/copperbeam/protocol/openai/ChatModels.java
@@ -3,12 +3,14 @@
 import java.time.Duration;
 import java.util.Map;
 
-/** What the operator's file offers by the chat API: each model's name with what it stands for. */
+/** The models that the operator's configuration offers through the chat API, by name. */
 public record ChatModels(Map<String, Model> models) {
 
     /**
-     * @param timeout how long a client of this model waits for a first token
-     * @param maxTokens what an answer may hold where the client does not say
+     * How requests for a model are handled.
+     *
+     * @param timeout how long a client of this model waits for the first token
+     * @param maxTokens the maximum length of an answer if the client doesn't set one
      */
     public record Model(String requestClass, Duration timeout, int maxTokens) {}
 }
--- a/src/main/java/copperbeam/protocol/openai/ChatRequest.java
+++ b/src/main/java/copperbeam/protocol/openai/ChatRequest.java
@@ -14,8 +14,12 @@
 import java.util.List;
 
 /**
- * A chat request, and what the core wants to know of it: session, shared beginning and lengths are drawn from
- * its messages, as this API names none of them.
+ * A chat request with the properties that the core needs. Session, prefix and lengths are derived from the messages, because
+ * this API has no fields for them.
+ *
+ * @param maxTokens 0 if the client doesn't set it
+ * @param prefix a hash of the system message that opens the conversation, or null if there is none
+ * @param promptTokens estimated from the number of characters
  */
 record ChatRequest(
         String model,
@@ -27,8 +31,8 @@
         int promptTokens,
         int prefixTokens,
         JsonObject json) {
-    private static final int CHARS_A_TOKEN = 4;
-    private static final int MOST_TOKENS = 1_000_000;
+    private static final int CHARS_A_TOKEN = 4; // for the estimate of tokens
+    private static final int MOST_TOKENS = 1_000_000; // the largest valid count in a request, such as max_tokens
 
     private record Message(String role, String text) {
         int tokens() {
@@ -36,7 +40,7 @@
         }
     }
 
-    /** {@code maxTokens} is 0 where the client leaves it open. */
+    /** Parses and validates the body of a request. */
     static ChatRequest parse(byte[] body) throws ApiError {
         if (!Json.isObject(body)) {
             throw ApiError.invalid(null, "The body is not a JSON object.");
@@ -76,7 +80,7 @@
                 json);
     }
 
-    /** What a server gets: the client's body, but always as a stream. */
+    /** Returns the body that servers receive: the client's body, but always with streaming enabled. */
     byte[] forServers(byte[] asCame) {
         if (stream) {
             return asCame;
@@ -105,7 +109,7 @@
         return messages;
     }
 
-    /** A text, or a list of parts of which the texts count. */
+    /** Returns the text of a message, which is a string or a list of text parts. */
     private static String content(JsonElement content, String at) throws ApiError {
         if (content == null || content.isJsonNull()) {
             return "";
@@ -161,12 +165,15 @@
                 return (int) number;
             }
         } catch (UnsupportedOperationException | NumberFormatException | IllegalStateException e) {
-            // told below like a number out of range
+            // rejected below like a number out of range
         }
         throw ApiError.invalid(key, "'" + key + "' must be a whole number from 1.");
     }
 
-    /** All turns of a conversation begin alike up to the first question, whatever has been answered since. */
+    /**
+     * Derives the session from the client's "user" and the messages up to the first one of the user, because these are the
+     * same in all requests of a conversation.
+     */
     private static String session(String user, List<Message> messages) {
         List<String> parts = new ArrayList<>(List.of(String.valueOf(user)));
         for (Message message : messages) {
@@ -188,7 +195,7 @@
             }
             return HexFormat.of().formatHex(digest.digest(), 0, 8);
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("every Java has SHA-256", e);
+            throw new IllegalStateException("SHA-256 is required of every Java platform", e);
         }
     }
 }
--- a/src/main/java/copperbeam/protocol/openai/OpenAiFront.java
+++ b/src/main/java/copperbeam/protocol/openai/OpenAiFront.java
@@ -19,7 +19,7 @@
 import java.util.concurrent.ThreadLocalRandom;
 import java.util.function.BooleanSupplier;
 
-/** The chat API: its requests in, the servers' events out in its form, on the same core as the platform's. */
+/** The front for the chat completions API, which translates requests and responses; it uses the same core as the platform's. */
 public final class OpenAiFront implements Front {
     private final ChatModels models;
     private final Intake intake;
@@ -107,7 +107,7 @@
         return () -> intake.left(answer);
     }
 
-    /** The request as servers know it. */
+    /** Translates the request into the platform's protocol, which servers use. */
     private static HttpCall passed(HttpCall call, ChatRequest request, ChatModels.Model model, int maxTokens) {
         String attrs = (request.prefix() == null ? "" : "prefix=" + request.prefix() + ",") + "prompt_len="
                 + request.promptTokens() + ",prefix_len=" + request.prefixTokens() + ",max_out=" + maxTokens;
--- a/src/main/java/copperbeam/protocol/openai/SseData.java
+++ b/src/main/java/copperbeam/protocol/openai/SseData.java
@@ -2,11 +2,11 @@
 
 import java.nio.charset.StandardCharsets;
 
-/** The data of one server-sent event. */
+/** Extracts the data of a server-sent event. */
 final class SseData {
     private SseData() {}
 
-    /** The event's data lines joined, or null where it has none, as a comment. */
+    /** Returns the data lines of an event joined by line feeds, or null if it has none, for example in a comment. */
     static String of(byte[] raw) {
         StringBuilder data = null;
         for (String line : new String(raw, StandardCharsets.UTF_8).split("\r\n|\n|\r")) {
--- a/src/main/java/copperbeam/protocol/openai/package-info.java
+++ b/src/main/java/copperbeam/protocol/openai/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The chat completions API: its requests are translated for the core, and the events of servers into its answers, both
- * streamed and whole.
+ * The front for the OpenAI chat completions API. Translates its requests for the core, and the events of servers into its
+ * responses, streamed or complete.
  */
 package copperbeam.protocol.openai;
--- a/src/main/java/copperbeam/protocol/package-info.java
+++ b/src/main/java/copperbeam/protocol/package-info.java
@@ -1,6 +1,6 @@
 /**
- * What all protocols share: a request and a reply as plain HTTP, JSON, and server-sent events. One package below this
- * one holds one protocol.
+ * What all protocols share: HTTP requests and responses, JSON, and server-sent events. Each subpackage implements one
+ * protocol.
  *
  * <p>Uses {@code routing}; is used by {@code transport}, which reads and writes the bytes.
  */
--- a/src/main/java/copperbeam/protocol/platform/PlatformFront.java
+++ b/src/main/java/copperbeam/protocol/platform/PlatformFront.java
@@ -17,12 +17,11 @@
 import java.util.function.BooleanSupplier;
 import java.util.regex.Pattern;
 
-/** The platform's protocol: its headers in, a server's events out as they come. */
+/** The front for the platform's protocol: reads requests with its headers, and passes on a server's events unchanged. */
 public final class PlatformFront implements Front {
-    public static final Duration MARGIN = Duration.ofMillis(20); // for an answer's way back to the client
+    public static final Duration MARGIN = Duration.ofMillis(20); // for the response's way back to the client
 
-    // printable, and the same in a path: "a?b" or "%61" in the path of a release would let go of another request's
-    // state
+    // Printable, and unchanged in a URL path: with "a?b" or "%61" as id, a release would free another request's state.
     private static final Pattern ID = Pattern.compile("(?!\\.{1,2}$)[!-~&&[^/?#%\\\\]]+");
 
     private final Set<String> classes;
@@ -72,7 +71,7 @@
             throw new BadRequest(400, "X-Priority-Class names no class of this service");
         }
         String session = call.header("x-route-key");
-        // HttpCore has made spaces of CR and NUL, so that servers would get a key that no client sent
+        // HttpCore replaces CR and NUL by spaces, so servers would receive a key that no client sent
         if (session != null && !session.chars().allMatch(c -> c > 32 && c < 127)) {
             throw new BadRequest(400, "X-Route-Key is no name");
         }
@@ -95,7 +94,7 @@
                 call);
     }
 
-    /** Less what the request may have waited unread. */
+    /** The arrival plus the timeout, minus the time the request may have waited before it was read and the response margin. */
     private static Instant deadline(HttpCall call, Duration timeout) {
         return call.arrived().plus(timeout).minus(call.queued()).minus(MARGIN);
     }
--- a/src/main/java/copperbeam/protocol/platform/PlatformHeaders.java
+++ b/src/main/java/copperbeam/protocol/platform/PlatformHeaders.java
@@ -6,17 +6,17 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Reads and writes the values of the platform's own headers. */
+/** Parses and formats the values of the platform's own headers. */
 public final class PlatformHeaders {
-    /** A day; longer is no client's patience. */
+    /** Longest valid X-Timeout; no client waits longer than a day. */
     public static final Duration LONGEST_TIMEOUT = Duration.ofDays(1);
 
     private PlatformHeaders() {}
 
-    /** The sizes of a request in tokens; {@code prefix} is null where nothing is shared. */
+    /** The sizes of a request in tokens; {@code prefix} is null if the request shares no prefix. */
     public record Attrs(String prefix, double promptTokens, double prefixTokens, double maxAnswerTokens) {}
 
-    /** A number and {@code m} for milliseconds or {@code u} for microseconds. */
+    /** Parses X-Timeout: a whole number followed by {@code m} for milliseconds or {@code u} for microseconds. */
     public static Duration timeout(String value) throws BadRequest {
         String text = value == null ? "" : value.strip();
         long unit = text.endsWith("m") ? 1000 : text.endsWith("u") ? 1 : 0;
@@ -26,7 +26,7 @@
                 return Duration.ofNanos(micros * 1000);
             }
         } catch (NumberFormatException | ArithmeticException e) {
-            // answered below like any other value that is none
+            // rejected below like any other invalid value
         }
         throw new BadRequest(400, "X-Timeout is not a span");
     }
@@ -35,7 +35,7 @@
         return Math.max(1, span.toMillis()) + "m";
     }
 
-    /** {@code name=value} pairs parted by commas; unknown names are passed over. */
+    /** Parses X-Attrs: comma-separated {@code name=value} pairs; unknown names are ignored. */
     public static Attrs attrs(String value) throws BadRequest {
         Map<String, String> pairs = new HashMap<>();
         for (String pair : (value == null ? "" : value).split(",")) {
@@ -71,7 +71,10 @@
         return Long.parseLong(digits);
     }
 
-    /** A load report, with the settings' names or the platform's; null where it holds no figure. */
+    /**
+     * Parses a load report. Metrics may have the names that the settings use or those of the platform. Returns null if it
+     * holds no known metric.
+     */
     public static Report report(String value) {
         Map<String, Double> metrics = new HashMap<>();
         for (String pair : (value == null ? "" : value).split(",")) {
@@ -83,7 +86,7 @@
                             Double.valueOf(pair.substring(equals + 1).strip()));
                 }
             } catch (NumberFormatException e) {
-                // a figure that is none is as one that is not told
+                // an invalid number counts as missing
             }
         }
         Report report = new Report(
--- a/src/main/java/copperbeam/protocol/platform/PlatformStatus.java
+++ b/src/main/java/copperbeam/protocol/platform/PlatformStatus.java
@@ -4,31 +4,34 @@
 import com.google.gson.JsonParser;
 import copperbeam.routing.Connector.Word;
 
-/** What a server's status means on the platform. */
+/** Interprets the status codes of servers as the platform's protocol defines them. */
 public final class PlatformStatus {
     private PlatformStatus() {}
 
     /**
-     * {@code reads}: at a reader; {@code notProcessed}: the answer says that nothing ran. Guards against the other role's
-     * word: a writer that was taken to have read would be sent the same again, though it may have run.
+     * Classifies the answer to an attempt. An answer that belongs to the other role is an error: if a writer counted as having
+     * read the prompt, it would be sent the same request again, although it may have run it.
+     *
+     * @param fromReader the server acted as a reader
+     * @param notProcessed the answer has the header that says that nothing ran
      */
     public static Word attempt(boolean reads, int status, boolean notProcessed) {
         return switch (status) {
             case 200 -> reads ? Word.ERROR : Word.STREAM;
             case 202 -> reads ? Word.READ : Word.ERROR;
             case 410 -> notProcessed ? Word.STATE_MISSING : Word.ERROR;
-            // without the header nothing proves that it did not run
+            // without the header the request may have run
             case 503, 504 -> notProcessed ? Word.TURNED_AWAY : Word.ERROR;
             default -> Word.ERROR;
         };
     }
 
-    /** Of a read's answer: the prompt tokens that were found kept; NaN where it does not say. */
+    /** Parses a reader's answer: how many tokens of the prompt it found in its cache, or NaN if it doesn't say. */
     public static double keptTokens(String body) {
         try {
             JsonElement kept = JsonParser.parseString(body).getAsJsonObject().get("cached_tokens");
             return kept == null ? Double.NaN : kept.getAsLong();
-        } catch (RuntimeException e) { // what Gson throws of whatever is no such object, of several kinds
+        } catch (RuntimeException e) { // for other input than such an object, Gson throws exceptions of several types
             return Double.NaN;
         }
     }
--- a/src/test/java/copperbeam/protocol/ParsersTest.java
+++ b/src/test/java/copperbeam/protocol/ParsersTest.java
@@ -18,7 +18,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Tables of cases for what is read from the wires. */
+/** Tests the parsers of headers, status codes, event streams and server lists with tables of cases. */
 public class ParsersTest {
     @DataProvider
     public Object[][] timeouts() {
@@ -113,7 +113,7 @@
     @Test(dataProvider = "words")
     public void words(int status, boolean notProcessed, Word expected) {
         assertEquals(PlatformStatus.attempt(false, status, notProcessed), expected);
-        // a reader's differs only in its own word
+        // for a reader, only 200 and 202 differ
         assertEquals(
                 PlatformStatus.attempt(true, status, notProcessed),
                 status == 200 ? Word.ERROR : status == 202 ? Word.READ : expected);
@@ -145,7 +145,7 @@
         };
     }
 
-    /** Events are the same however the stream was cut on its way. */
+    /** The events don't depend on how the stream was split into reads. */
     @Test(dataProvider = "streams")
     public void events(String stream, List<String> expected) {
         byte[] bytes = stream.getBytes(StandardCharsets.UTF_8);
@@ -175,7 +175,7 @@
         };
     }
 
-    /** Where a server has lost its count, what it takes for an event is handed on by nobody. */
+    /** Noise from a server with broken chunk framing is not passed on as an event. */
     @Test(dataProvider = "noEvents")
     public void whatIsNoEventEndsTheStream(String text) {
         EventSplitter splitter = new EventSplitter();
