--- a/src/main/java/copperbeam/plugins/WasmHook.java
+++ b/src/main/java/copperbeam/plugins/WasmHook.java
@@ -13,18 +13,18 @@
 import java.util.List;
 
 /**
- * A WebAssembly module that exports {@code on_request(class, prompt_tokens, prefix_tokens, max_answer_tokens:
- * i32, session, prefix: i64) -> i32}. Classes are numbered from 0 in the settings' order; session and prefix
- * come as hashes, 0 for none. It returns 0 to let the request pass, -n to refuse it for n milliseconds, and
- * k + 1 to give it class k. It gets no imports, so it reaches nothing but its own memory.
+ * A request hook implemented by a WebAssembly module, which exports {@code on_request(class, prompt_tokens, prefix_tokens,
+ * max_answer_tokens: i32, session, prefix: i64) -> i32}. Classes are numbered from 0 in the settings' order; session and
+ * prefix are passed as hashes, 0 for none. The function returns 0 to let the request pass, -n to refuse it for n
+ * milliseconds, or k + 1 to change its class to k. The module gets no imports, so it can access only its own memory.
  */
 public final class WasmHook implements RequestHook {
     private static final List<ValueType> TAKES =
             List.of(ValueType.I32, ValueType.I32, ValueType.I32, ValueType.I32, ValueType.I64, ValueType.I64);
-    private static final int LOOK_EVERY = 256; // instructions between looks at the clock
+    private static final int LOOK_EVERY = 256; // number of instructions between checks of the time limit
     private static final int LONGEST_REFUSAL_MS = 60_000;
 
-    /** Thrown out of the interpreter. */
+    /** Thrown from within the interpreter when a call exceeds its time limit. */
     private static final class TooSlow extends RuntimeException {
         private static final long serialVersionUID = 1L;
 
@@ -42,7 +42,14 @@
     private int steps;
     private long until;
 
-    /** Throws {@link IllegalArgumentException} with what is wrong with the module. */
+    /**
+     * Loads the module.
+     *
+     * @param classes names of the request classes, in the settings' order
+     * @param timeLimit for loading the module, and for each call
+     * @param maxPages memory limit, in WebAssembly pages of 64 KiB
+     * @throws IllegalArgumentException if the module can't be used; the message says why
+     */
     public WasmHook(String name, byte[] wasm, List<String> classes, Duration time, int memoryPages) {
         this.name = name;
         this.classes = List.copyOf(classes);
@@ -105,11 +112,11 @@
                 return new Verdict(Duration.ofMillis(Math.min(-(long) verdict, LONGEST_REFUSAL_MS)), null);
             }
             if (verdict > classes.size()) {
-                throw new IllegalStateException("it names class " + (verdict - 1) + ", which there is not");
+                throw new IllegalStateException("it returned class " + (verdict - 1) + ", which does not exist");
             }
             return verdict == 0 ? Verdict.PASS : new Verdict(null, classes.get(verdict - 1));
         } catch (RuntimeException | Error e) {
-            instance = null; // its memory may be half changed
+            instance = null; // its memory may be inconsistent; the next call gets a new instance
             throw e;
         }
     }
--- a/src/main/java/copperbeam/plugins/package-info.java
+++ b/src/main/java/copperbeam/plugins/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Request hooks that run as WebAssembly modules, without access to anything but their own memory.
+ * Request hooks implemented by WebAssembly modules, which can access only their own memory.
  */
 package copperbeam.plugins;
--- a/src/main/java/copperbeam/program/Config.java
+++ b/src/main/java/copperbeam/program/Config.java
@@ -33,13 +33,15 @@
 import java.util.TreeSet;
 
 /**
- * All that the program is told at its start. Here and nowhere else it is read, checked and given defaults.
+ * The configuration of the program. Only this class reads it, checks it and fills in defaults.
  *
- * @param discovery null only where the operator's file names another source of the list
- * @param control where operators call, or null: then there is no such door
- * @param shared the folder that the processes of this conductor share, where there is a door; null for none
- * @param known the list as it was last had, or null
- * @param operator what the operator's file adds; nothing of it on the platform
+ * @param listen address of the clients' API
+ * @param control address of the operators' API; null: that API is off
+ * @param sharedFolder folder with the files that the processes of this conductor share; null: nothing is shared, as is always
+ *     the case without an operators' API
+ * @param discovery address of the discovery service; null only if the operator file names another source of the server list
+ * @param knownList the server list as last known before this start, or null
+ * @param operator settings from the operator file; defaults on the platform, which has no such file
  */
 public record Config(
         String name,
@@ -55,54 +57,62 @@
         Limits limits,
         Operator operator) {
 
-    private static final int MOST_MEMORY_MB = 1 << 20; // more changes nothing
-    private static final int LONGEST_NAME = 8 * 1024; // bytes of a class's name; half of the longest head
-    // behind the system's second repeat: later nothing comes, and sockets on their way to a silent server would pile up
+    private static final int MOST_MEMORY_MB = 1 << 20; // higher values have no further effect
+    private static final int LONGEST_NAME = 8 * 1024; // half of the longest request head that is accepted
+    // by then the operating system has sent its second SYN retransmission and no answer is to be expected any more;
+    // with a longer timeout, sockets that connect to an unresponsive server would pile up
     private static final Duration LONGEST_CONNECT = Duration.ofSeconds(4);
     private static final Duration LEAST_DISCOVERY_WAIT =
-            Duration.ofMillis(100); // below the 200 ms after which a watch is new
+            Duration.ofMillis(100); // below the 200 ms after which the discovery service counts a watch as new
 
-    /** {@code chat} and its address may be null: then there is no such front. So may {@code etcd}. */
+    /**
+     * Settings from the operator file.
+     *
+     * @param chatListen address of the chat API; null: that API is off
+     * @param chatModels null if the chat API is off
+     * @param etcd null if the server list comes from the platform's discovery
+     * @param stopTimeout time from SIGTERM to the platform's SIGKILL
+     */
     public record Operator(
             InetSocketAddress chatListen, ChatModels chat, Etcd etcd, List<RequestHook> hooks, Duration stopWithin) {
-        private static final Duration LONGEST_WAIT = Duration.ofSeconds(3); // a stop waits for no client for longer
-        private static final Duration KILL_AFTER = Duration.ofMillis(700); // and the kill comes so much later
+        private static final Duration LONGEST_WAIT = Duration.ofSeconds(3); // longest that a stop waits for clients
+        private static final Duration KILL_AFTER = Duration.ofMillis(700); // from the end of that wait to SIGKILL
 
         public Operator(InetSocketAddress chatListen, ChatModels chat, Etcd etcd, List<RequestHook> hooks) {
             this(chatListen, chat, etcd, hooks, LONGEST_WAIT.plus(KILL_AFTER));
         }
     }
 
-    /** What the platform lets this process have. */
+    /** Memory and file descriptors that this process may use. */
     public record Limits(int memoryMb, int sockets) {
         public static final Limits USUAL = new Limits(192, 1024);
-        private static final int OWN = 64; // descriptors: files, selectors, listeners, discovery, probes
+        private static final int OWN = 64; // descriptors for files, selectors, listeners, discovery and probes
 
-        /** A third: as many go to servers for their requests. */
+        /** Most client connections: a third of the descriptors, as each client's request needs a server connection too. */
         public int clients() {
             return sockets / 3;
         }
 
-        /** Connections that may stand idle at all servers together. */
+        /** Most idle connections to all servers together: what client and server connections and the reserve leave. */
         public int idle() {
             return sockets - 2 * clients() - OWN;
         }
 
-        /** Half of the descriptors: another process of this conductor has the other half. */
+        /** The limits with half of the descriptors, for while another process of this conductor has the other half. */
         Limits half() {
             return new Limits(memoryMb, sockets / 2);
         }
 
-        /** Bytes of requests that wait here; a part of the heap. */
+        /** Most bytes of request bodies held at a time: at most a third of the heap and a quarter of the process's memory. */
         public long bodies() {
             return Math.min(Runtime.getRuntime().maxMemory() / 3, memoryMb * 1024L * 1024 / 4);
         }
     }
 
-    /** Where the list comes from in place of the platform's discovery; {@code prefix} ends in a slash. */
+    /** An etcd that the server list comes from instead of the platform's discovery; {@code prefix} ends in a slash. */
     public record Etcd(InetSocketAddress endpoint, String prefix) {}
 
-    /** What is wrong, by the key at fault. */
+    /** An invalid configuration; the message begins with the key at fault. */
     public static final class Invalid extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -111,12 +121,15 @@
         }
     }
 
-    /** From the platform's variables, the file that they name, and the operator's file if there is one. */
+    /** Reads the platform's environment variables, the file that they name, and the operator file unless null. */
     public static Config read(Map<String, String> environment, String operatorFile) throws Invalid {
         return read(environment, operatorFile, false);
     }
 
-    /** The same after a start: a file that was replaced is newer word on discovery than the environment. */
+    /**
+     * As {@link #read}, in a running program: the discovery address in the file takes precedence over the environment, as
+     * the file may have been replaced since the start.
+     */
     public static Config reread(Map<String, String> environment, String operatorFile) throws Invalid {
         return read(environment, operatorFile, true);
     }
@@ -171,7 +184,7 @@
         }
     }
 
-    /** Never above what the system lets this process have. */
+    /** The configured limits; the descriptors never exceed the process's limit in the operating system. */
     private static Limits limits(Section file) throws Invalid {
         if (!file.has("limits")) {
             return new Limits(Limits.USUAL.memoryMb(), Math.min(Limits.USUAL.sockets(), ProcessDescriptors.limit()));
@@ -192,7 +205,7 @@
         } catch (Wire.Malformed e) {
             throw new Invalid("settings", e.getMessage());
         }
-        raw.count("balancers", 1, 1, Integer.MAX_VALUE); // beyond it a number wraps round to a smaller one
+        raw.count("balancers", 1, 1, Integer.MAX_VALUE); // the decoder's cast to int would wrap larger numbers
         raw.section("limits").count("send_cap", 1, 1, Integer.MAX_VALUE);
         raw.count("self_index", -1, Integer.MIN_VALUE, Integer.MAX_VALUE);
         if (raw.has("discovery") && !Set.of("automatic", "subscribe").contains(raw.get("discovery"))) {
@@ -207,11 +220,11 @@
         return settings;
     }
 
-    /** Guards against kinds of servers that together can't serve any request. */
+    /** Rejects kinds of servers that together can't serve any request. */
     private static void roles(Section raw, Settings settings) throws Invalid {
         Set<Role> roles = EnumSet.noneOf(Role.class);
         settings.kinds().forEach(k -> roles.add(k.role()));
-        boolean all = roles.isEmpty() || roles.contains(Role.MIXED); // some can read and write
+        boolean all = roles.isEmpty() || roles.contains(Role.MIXED); // some servers can both read and write
         boolean alone = all || roles.contains(Role.WRITER) && settings.writersRead();
         if (!alone && roles.size() < 2) {
             throw raw.section("extra")
@@ -224,7 +237,7 @@
         }
     }
 
-    /** Guards against a class that no header can name, and one that may be repeated and, by its namesake, may not. */
+    /** Rejects class names that a header can't carry, and classes or kinds defined twice with different properties. */
     private static void names(Section raw, Settings settings) throws Invalid {
         Map<String, RequestClass> classes = new LinkedHashMap<>();
         Map<String, Kind> kinds = new LinkedHashMap<>();
@@ -253,7 +266,7 @@
         }
     }
 
-    /** Guards against figures that mean nothing below 0, and against spans that no clock can reckon with. */
+    /** Rejects negative numbers where they make no sense, and durations too long to compute with. */
     private static void amounts(Section raw) throws Invalid {
         for (Section service : raw.sections("services")) {
             service.notNegative("promise_s", "give_up_s", "window_s", "worth");
@@ -285,7 +298,7 @@
         try {
             ServerList known = file.has("known") ? ServerList.parse(Json.GSON.toJson(file.get("known"))) : null;
             if (known != null) {
-                known.change(ListKind.CACHED); // throws what is wrong with an entry
+                known.change(ListKind.CACHED); // throws if an entry is invalid
             }
             return known;
         } catch (IllegalArgumentException e) {
@@ -319,7 +332,10 @@
                 file.has("stop") ? stopWithin(file.section("stop"), kill) : kill);
     }
 
-    /** From SIGTERM on the platform kills no sooner; a class whose deadline is not told may have any. */
+    /**
+     * Shortest time from SIGTERM to the platform's SIGKILL: the longest deadline of a class, at most
+     * {@link Operator#MAX_CLIENT_WAIT}, plus a margin. A class without a configured deadline counts as the maximum.
+     */
     private static Duration kill(Section settings) throws Invalid {
         Duration longest = Duration.ZERO;
         for (Section service : settings.sections("services")) {
@@ -403,8 +419,9 @@
     }
 
     /**
-     * The list that discovery goes on from, where it must be asked for and is one service, with one count of versions;
-     * an agent's whole list costs nothing, and its count may be its own. Null where there is none.
+     * The known list and version from which discovery continues, or null if it must fetch a full list. Discovery continues
+     * only if the list must be requested, as then one service numbers all versions. A local agent may have its own version
+     * numbers, and a full list from it costs nothing.
      */
     WatchPlan.Listing knownListing() {
         return !knowsServers() || !settings.listMustBeAsked()
@@ -412,21 +429,21 @@
                 : new WatchPlan.Listing(known.version(), true, known.entries());
     }
 
-    /** Whether there were servers when the list was last had: an empty one is then no word to start with. */
+    /** Whether the known list has servers; if so, an empty list from discovery right after the start is not trusted. */
     boolean knowsServers() {
         return known != null && !known.entries().isEmpty();
     }
 
     /**
-     * Between failed calls to discovery. Where it is one service for all, its own answer says that it has more to do
-     * than it can: asked again after half a second at first, and no later than the rule allows to be without word.
-     * Where an agent tells the list unasked, asking costs nothing.
+     * Delays between failed calls to discovery. If the list must be requested, one service serves all conductors and may be
+     * overloaded: retries start at 0.5 s, and the delay grows at most to the time that the rules allow without contact. If a
+     * local agent pushes the list, calls are cheap and the delay stays at its minimum.
      */
     Backoff discoveryBackoff() {
         Duration soon = LEAST_DISCOVERY_WAIT;
         Duration first = settings.listMustBeAsked() ? soon.multipliedBy(5) : soon;
         double within = settings.rules().askWithinS();
-        // a shorter one is kept by no service: calls without a pause would only overrun it
+        // no service could meet a shorter limit; calls without a pause would only overload it
         Duration longest = within > 0 ? ModuleTime.span(Math.max(within, ModuleTime.seconds(soon))) : WatchPlan.TOLD;
         return new Backoff(first, settings.listMustBeAsked() ? longest : first, new SplittableRandom(seed));
     }
--- a/src/main/java/copperbeam/program/Handover.java
+++ b/src/main/java/copperbeam/program/Handover.java
@@ -16,36 +16,37 @@
 import java.util.logging.Logger;
 
 /**
- * Carries out what the processes of one conductor have agreed on: which servers are out by hand, whether clients are sent
- * away, who lives and who serves. Works on one thread, five times a second and at each call. Without a folder to
- * share it does the same for this process alone.
+ * Applies the state that the processes of one conductor share: the banned servers, whether the conductor is drained, and
+ * which processes run and serve. Reads and writes that state on a thread of its own, every {@link #POLL_INTERVAL} and at
+ * each command. Without a shared folder the state is that of this process alone.
  */
 final class Handover implements Shared, AutoCloseable {
-    /** Takes the address where clients come. */
+    /** Starts to listen at the clients' address. */
     interface Listen {
         void run() throws IOException;
     }
 
-    /** What changes for this process. */
+    /** Is told of changes that concern this process. */
     interface ChangeListener {
-        /** Sends clients away, or ends that; {@code done} false where a stop is under way. */
+        /** The conductor has been drained, or the drain has been ended; {@code reply} gets false if a stop is under way. */
         void drain(boolean drained, Consumer<Boolean> done);
 
+        /** Other processes of this conductor have started, begun to serve or ended. */
         void beside(Beside now);
     }
 
     /**
-     * How this process stands to the others of this conductor.
+     * The position of this process among those of its conductor.
      *
-     * @param another one lives
-     * @param succeeded one that began later serves
-     * @param part of what the conductor may send to cold servers, for this process
+     * @param another whether another process runs
+     * @param succeeded whether a process started later is serving
+     * @param part this process's share (0 to 1) of the work that the conductor may send to cold servers
      */
     record Beside(boolean another, boolean succeeded, double part) {
         static final Beside NONE = new Beside(false, false, 1);
     }
 
-    private static final double LEAVING = 0.2; // part of one that still ends what it has
+    private static final double LEAVING = 0.2; // share of cold-server work for a process that only finishes its requests
 
     private static final Logger LOG = Logger.getLogger(Handover.class.getName());
     private static final Duration LOOK = Duration.ofMillis(200);
@@ -54,18 +55,18 @@
             new ScheduledThreadPoolExecutor(1, task -> new Thread(task, "operators"));
     private final Clock clock;
     private final BanActor bans;
-    private final Path at; // null where there is nothing to share
+    private final Path at; // null: nothing is shared
     private final String conductor;
-    private SharedFolder folder; // null where there is none, or not yet
+    private SharedFolder folder; // null: nothing is shared, or the folder could not be opened yet
     private String complaint = "";
     private SharedState state;
     private SharedState acted = SharedState.EMPTY;
     private Beside beside = Beside.NONE;
-    private Phase phase = Phase.STARTING; // but for a process that serves in place of this one
+    private Phase phase = Phase.STARTING; // the phase of this process, not counting that a successor makes it LEAVING
     private boolean stopping;
     private ChangeListener listener;
 
-    /** Takes up what an earlier process has left; {@code folder} null: there is none to share. */
+    /** Applies the bans that earlier processes left in the folder. {@code folderPath} null: nothing is shared. */
     Handover(Path at, String conductor, Clock clock, BanActor bans) {
         this.clock = clock;
         this.bans = bans;
@@ -73,17 +74,20 @@
         this.conductor = conductor;
         state = SharedState.EMPTY;
         open();
-        bans.tell(new BanActor.Out(state.banned(), () -> {})); // before the list is known
+        bans.tell(new BanActor.Out(state.banned(), () -> {})); // before the server list arrives
     }
 
-    /** Tried until it succeeds: a folder that can't be written to for a while must not part the processes for good. */
+    /**
+     * Opens the shared folder if it isn't open yet. Called until it succeeds, so that processes share their state again as
+     * soon as a folder that was not writable for a while is writable.
+     */
     private void open() {
         if (folder != null || at == null) {
             return;
         }
         try {
             SharedFolder opened = new SharedFolder(at, conductor, clock);
-            opened.change(s -> s.merge(state)); // what was said by hand meanwhile
+            opened.change(s -> s.merge(state)); // operators' commands from the meantime
             if (phase != Phase.STARTING) {
                 opened.phase(phase);
             }
@@ -102,18 +106,21 @@
         return thread;
     }
 
-    /** From now on acts on what others write. */
+    /** Starts applying what other processes write. */
     void begin(ChangeListener its) {
         listener = its;
         thread.execute(this::act);
-        RegularTask.start(thread, LOOK, "the hand-over", () -> {
+        RegularTask.start(thread, LOOK, "polling the state shared with other processes", () -> {
             open();
             change(s -> s);
             act();
         });
     }
 
-    /** This process serves once {@code listen} is done, which is tried until it is; never where it stops before. */
+    /**
+     * Calls {@code listen} until it succeeds, then marks this process as serving and runs {@code onServing}. Gives up when
+     * the process stops.
+     */
     void serve(Listen listen, Runnable serves) {
         thread.execute(() -> {
             if (stopping) {
@@ -121,7 +128,7 @@
             }
             try {
                 if (folder != null && folder.succeeded()) {
-                    throw new IOException("one that started later serves");
+                    throw new IOException("a process that started later is serving");
                 }
                 listen.run();
                 phase = Phase.SERVING;
@@ -134,7 +141,7 @@
         });
     }
 
-    /** This process ends; answers whether another one serves in its place. */
+    /** Marks this process as leaving; completes with whether a process started later is serving. */
     CompletableFuture<Boolean> leaving() {
         return CompletableFuture.supplyAsync(
                 () -> {
@@ -163,7 +170,7 @@
 
     private void act() {
         if (!state.banned().equals(acted.banned())) {
-            LOG.info("out by hand: " + state.banned());
+            LOG.info("banned servers: " + state.banned());
             bans.tell(new BanActor.Out(state.banned(), () -> {}));
         }
         if (state.drain().drained() != acted.drain().drained()) {
@@ -191,7 +198,7 @@
         change(s -> s.ban(server, out, clock.instant()));
         acted = new SharedState(state.bans(), acted.drain(), acted.lives());
         bans.tell(new BanActor.Out(state.banned(), done));
-        act(); // on what was read with it: said at another's door just before, it would never be looked at again
+        act(); // this update may also have read commands given to another process, which later polls see no change in
     }
 
     @Override
@@ -203,7 +210,7 @@
         change(s -> s.drain(drained, clock.instant()));
         acted = new SharedState(acted.bans(), state.drain(), acted.lives());
         listener.drain(drained, done);
-        act(); // as in ban()
+        act(); // as in setBanned()
     }
 
     @Override
--- a/src/main/java/copperbeam/program/LastHeld.java
+++ b/src/main/java/copperbeam/program/LastHeld.java
@@ -9,9 +9,9 @@
 import java.util.Optional;
 
 /**
- * When a process last held a shared file, written into that file by the machine's monotonic clock, which all processes
- * share and which no step of the wall clock changes. It says nothing once the machine has started anew, so that each
- * entry names the start it belongs to.
+ * The time at which a process last used a shared file, stored in that file. Uses the machine's monotonic clock, which is
+ * the same for all processes and is not affected by steps of the wall clock. As that clock restarts when the machine
+ * boots, each entry also holds a hash of the boot id.
  */
 final class LastHeld {
     private static final Path BOOT_ID = Path.of("/proc/sys/kernel/random/boot_id");
@@ -21,7 +21,10 @@
     private final long position;
     private final int boot;
 
-    /** {@code channel}: for reading and writing; {@code position}: of the entry. */
+    /**
+     * @param channel open for reading and writing
+     * @param position offset of the entry in the file, in bytes
+     */
     LastHeld(FileChannel channel, long position) {
         this.channel = channel;
         this.position = position;
@@ -32,18 +35,21 @@
         try {
             return Files.readString(BOOT_ID).strip().hashCode();
         } catch (IOException e) {
-            return NO_BOOT; // a system that does not tell
+            return NO_BOOT; // the operating system has no boot id
         }
     }
 
-    /** Through this channel alone: whoever closes another descriptor of the file loses all locks held there. */
+    /**
+     * Stores the present time. Uses only the given channel: if this process opened and closed another descriptor of the
+     * file, it would lose all its locks on it.
+     */
     void write() throws IOException {
         ByteBuffer entry = ByteBuffer.allocate(Long.BYTES + Integer.BYTES);
         entry.putLong(System.nanoTime()).putInt(boot).flip();
         channel.write(entry, position);
     }
 
-    /** How long ago that was; empty where the entry is none of this machine's present start. */
+    /** Time since the last {@link #write} of any process; empty if there was none since the machine booted. */
     Optional<Duration> ago() throws IOException {
         ByteBuffer entry = ByteBuffer.allocate(Long.BYTES + Integer.BYTES);
         if (channel.read(entry, position) < entry.capacity() || boot == NO_BOOT || entry.getInt(Long.BYTES) != boot) {
--- a/src/main/java/copperbeam/program/LifecycleActor.java
+++ b/src/main/java/copperbeam/program/LifecycleActor.java
@@ -16,7 +16,7 @@
 import java.util.function.Consumer;
 import java.util.logging.Logger;
 
-/** Owns the conductor's {@link Lifecycle} and carries its steps out: drains by hand and the stop. */
+/** Owns the conductor's {@link Lifecycle} and carries out its steps for drains by operators and for the stop. */
 final class LifecycleActor extends Actor<LifecycleActor.Message> implements Handover.ChangeListener {
     sealed interface Message permits Drain, Stop, Succeeded, Tick {}
 
@@ -30,7 +30,7 @@
 
     private static final Logger LOG = Logger.getLogger(LifecycleActor.class.getName());
     private static final Duration TICK = Duration.ofMillis(20);
-    private static final Duration LONGEST_STOP = Duration.ofSeconds(60);
+    private static final Duration LONGEST_STOP = Duration.ofSeconds(60); // a stop ends after this time in any case
 
     private final Clock clock;
     private final Instant from;
@@ -69,7 +69,7 @@
         this.besides = besides;
     }
 
-    /** Neither drained by hand nor stopping; from any thread. */
+    /** Whether health checks should pass: neither drained by operators nor stopping. Thread-safe. */
     boolean healthy() {
         return healthy;
     }
@@ -89,10 +89,13 @@
         tell(new Succeeded(now.succeeded()));
     }
 
-    /** The returned ends when the process may; asked again it is the same. */
+    /**
+     * Starts the stop; {@code successorServes}: whether a process started later is serving. The returned future, the same at
+     * each call, completes when the process may end.
+     */
     CompletableFuture<Void> stop(boolean successor) {
         stopping = true;
-        healthy &= successor; // at once, however long the mailboxes are
+        healthy &= successor; // takes effect at once, without waiting for queued messages
         if (successor) {
             tell(new Succeeded(true));
         }
@@ -106,7 +109,7 @@
             act(m);
         } finally {
             if (lifecycle.stopping() && !ended.isDone()) {
-                watch(); // whatever failed: a stop that nobody looks at would last until the kill
+                watch(); // also after a failure: without further ticks the stop would last until the kill
             }
         }
     }
@@ -134,9 +137,8 @@
         if (ended.isDone()) {
             return;
         }
-        // each connection that is left is told so by its close: one that has just been answered may have the next
-        // request
-        // on its way, and it would be lost with the process
+        // a client that has just been answered may have sent its next request already, which would be lost with the
+        // process; so the process doesn't end before all connections are closed
         boolean open = fronts.stream().anyMatch(f -> !lifecycle.listens() && f.listening() || f.connected());
         if (!open && lifecycle.stopping()) {
             open = !fronts.stream().allMatch(HttpFrontServer::seal);
@@ -171,7 +173,7 @@
         if (late || exits) {
             ended.complete(null);
         } else if (next == Step.END && step != Step.END) {
-            // nothing can come any more, so that what is open without a client now, a release say, is the last of it
+            // nothing new can arrive, so once open requests and then releases have ended, nothing is left
             module.tell(new ModuleActor.Drain(() -> releases.tell(new ReleaseActor.Drain(() -> ended.complete(null)))));
         }
         if (next != step) {
--- a/src/main/java/copperbeam/program/Main.java
+++ b/src/main/java/copperbeam/program/Main.java
@@ -28,21 +28,21 @@
 public final class Main {
     private static final String USAGE = "copperbeam serve|check-config|explain FILE|version|simhost|rehearse";
 
-    private static final Duration RECORD_TIME = Duration.ofMillis(500); // at a stop, which must end
+    private static final Duration RECORD_TIME = Duration.ofMillis(500); // for writing the recording at a stop
 
     private Main() {}
 
     public static void main(String[] args) throws Exception {
-        // before its class is initialized, and any logger is made
+        // must be set before the log manager's class is initialized and the first logger is created
         System.setProperty("java.util.logging.manager", StopLogManager.class.getName());
         System.setProperty("java.util.logging.SimpleFormatter.format", "%1$tT.%1$tL %4$s %3$s: %5$s%6$s%n");
-        // before all else: without a handler the signal ends the program, and with it what was just taken
+        // first of all: without a handler, SIGHUP ends the process and the requests that it has taken
         Reload reload = Arrays.asList(args).contains("serve") ? Reload.onHangup() : null;
         int code;
         try {
             code = run(args, reload);
         } catch (RuntimeException | Error e) {
-            // threads that were begun would keep the process, which neither serves nor ends
+            // exit explicitly: threads already started would keep alive a process that doesn't serve
             Logger.getLogger(Main.class.getName()).log(Level.SEVERE, "copperbeam could not start", e);
             code = 1;
         }
@@ -51,7 +51,7 @@
         }
     }
 
-    /** The exit code; below 0 where the program goes on. {@code reload}: what SIGHUP does, for {@code serve} alone. */
+    /** Returns the exit code, or a negative number if the program keeps running. {@code reload} is used by {@code serve} only. */
     static int run(String[] args, Reload reload) throws Exception {
         Options options = options();
         CommandLine line;
@@ -116,7 +116,7 @@
         return version == null ? "(not packaged)" : version;
     }
 
-    /** Null, with the reason told, where the configuration is not valid. */
+    /** Reads the configuration; prints the error and returns null if it is not valid. */
     private static Config config(CommandLine line) {
         try {
             return Config.read(System.getenv(), line.getOptionValue("operator"));
@@ -193,18 +193,21 @@
             Signal.handle(new Signal("USR2"), signal -> node.record());
         }
         System.err.println("copperbeam " + version() + ": " + config.name() + " listens on " + node.address());
-        node.awaitWarm(); // a start waits for no log
+        node.awaitWarm(); // loading the log classes must not delay the start
         openLog();
         return -1;
     }
 
-    /** On SIGTERM, also on one that comes within the start: what listens by then may have taken requests. */
+    /**
+     * Runs on SIGTERM. If the program is still starting, waits until the start is done, as a front that listens already may
+     * have taken requests.
+     */
     private static void stop(CompletableFuture<Node> running) {
         Node node;
         try {
             node = running.join();
         } catch (CompletionException e) {
-            return; // nothing was started, and the exit code says so
+            return; // the start failed, and the exit code says so
         }
         try {
             node.stop();
@@ -217,13 +220,13 @@
         try {
             node.quiesce();
         } finally {
-            Runtime.getRuntime().halt(0); // threads would outlive the hooks; all that was taken is answered by now
+            Runtime.getRuntime().halt(0); // other threads are still running; all requests taken are answered by now
         }
     }
 
     /**
-     * Has the JVM load what a log line needs. Guards against a first line in a moment without a descriptor: the JVM then
-     * can't read its time zones, which ends whatever wrote the line with an Error, and no line is ever written.
+     * Loads what the JVM needs to format log lines. If the first line were logged while no file descriptor is free, the JVM
+     * could not read its time zones: the logging thread would get an Error, and no line could ever be written.
      */
     private static void openLog() {
         for (Handler handler : Logger.getLogger("").getHandlers()) {
--- a/src/main/java/copperbeam/program/Node.java
+++ b/src/main/java/copperbeam/program/Node.java
@@ -44,17 +44,21 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.logging.Logger;
 
-/** One running conductor: its actors, its fronts and its reactors. */
+/** One running conductor: builds and connects its actors, fronts and reactors, and starts and stops them. */
 public final class Node implements AutoCloseable {
     private static final Duration LEAST_CALL = Duration.ofMillis(250);
     private static final Duration LONGEST_CALL = Duration.ofSeconds(1);
-    private static final double IDLE_SHARE = 0.5; // of the servers' limit for which we keep idle connections
+    // idle connections are kept for this share of the servers' idle timeout
+    private static final double IDLE_SHARE = 0.5;
     private static final Logger LOG = Logger.getLogger(Node.class.getName());
-    private static final Duration LOOK = Duration.ofMillis(500); // at a stop, for whether another process serves
+    // at a stop, for finding out whether another process is serving
+    private static final Duration LOOK = Duration.ofMillis(500);
     private static final Duration CLOCK_LOOK =
-            Duration.ofMillis(500); // from one look for a step of the wall clock to the next
-    private static final Duration KNOWN_AFTER = Duration.ofSeconds(2); // of silence the list known before is gone by
-    private static final int MIN_RESUMED_STREAMS = 3; // of late; so many say that others have stopped
+            Duration.ofMillis(500); // between checks for steps of the wall clock
+    // if discovery hasn't sent a list for so long after the start, the one known before the start is used
+    private static final Duration KNOWN_AFTER = Duration.ofSeconds(2);
+    // so many recently resumed streams show that other conductors have cut theirs
+    private static final int MIN_RESUMED_STREAMS = 3;
 
     private final ScheduledThreadPoolExecutor turns =
             new ScheduledThreadPoolExecutor(1, task -> new Thread(task, "actors"));
@@ -62,7 +66,7 @@
     private final ModuleActor module;
     private final ReleaseActor releases;
     private final MembershipSource source;
-    private final DiscoveryWatch discovery; // null where the list comes from elsewhere
+    private final DiscoveryWatch discovery; // null if the list comes from etcd
     private final HttpFrontServer server;
     private final AtomicBoolean listed = new AtomicBoolean();
     private final CountDownLatch warm = new CountDownLatch(1);
@@ -71,22 +75,22 @@
     private final Metrics metrics;
     private final ClientRoom room;
     private final LifecycleActor lifecycle;
-    private volatile InetSocketAddress address; // null until it listens
+    private volatile InetSocketAddress address; // null until this process listens there
     private final ResumedStreamCounter resumedStreams;
-    private final FileRecorder fileRecorder; // null where nothing is recorded
+    private final FileRecorder fileRecorder; // null if nothing is recorded
     private ScheduledThreadPoolExecutor hookTurns;
     private HttpFrontServer chat;
-    private volatile InetSocketAddress chatAddress; // the same
-    private AdminServer door; // null where operators have none
-    private final Handover handover; // the same
+    private volatile InetSocketAddress chatAddress; // null until this process listens there
+    private AdminServer door; // null if there is no operators' API
+    private final Handover handover; // null if there is no operators' API
     private final AtomicBoolean ready = new AtomicBoolean();
-    private volatile boolean serving; // at the clients' address
+    private volatile boolean serving; // listens at the clients' address
 
     public Node(Config config) throws IOException, InterruptedException {
         this(config, null, 0);
     }
 
-    /** {@code record} null: nothing is recorded. */
+    /** {@code recordFile} null: nothing is recorded. {@code recordBytes}: memory for recorded events. */
     Node(Config config, Path record, int recordBytes) throws IOException, InterruptedException {
         this.config = config;
         turns.setRemoveOnCancelPolicy(true);
@@ -119,7 +123,7 @@
         BanActor bans = config.control() == null ? null : new BanActor(turns, clock, list);
         handover = bans == null ? null : new Handover(config.shared(), config.name(), clock, bans);
         LaunchTimes launches = new LaunchTimes(clock, Clock.systemUTC());
-        RegularTask.start(turns, CLOCK_LOOK, "the look at the clocks", launches::look);
+        RegularTask.start(turns, CLOCK_LOOK, "checking the clocks", launches::look);
         MembershipSource.Sink told = bans == null
                 ? change -> list.tell(new ListActor.Told(launches.steady(change), null))
                 : change -> bans.tell(new BanActor.Told(launches.steady(change)));
@@ -185,9 +189,9 @@
         RegularTask.start(
                 turns,
                 HttpFrontServer.TICK,
-                "the look at connections",
+                "checking client connections",
                 () -> servers().forEach(HttpFrontServer::tick));
-        RegularTask.start(turns, HttpFrontServer.TICK, "the look at connects", reactor::cancelOverdue);
+        RegularTask.start(turns, HttpFrontServer.TICK, "cancelling overdue connects", reactor::cancelOverdue);
         boolean later = handover != null;
         if (!later) {
             listen();
@@ -205,8 +209,8 @@
             ready();
         });
         if (config.knowsServers() && !goesOn) {
-            // with discovery down, the list last known has to do; not before, as a drain that the agent has counts as
-            // told
+            // if discovery is down, fall back to the known list; not earlier, as the agent may know of drains that this
+            // list lacks, and this conductor counts as informed of them
             turns.schedule(
                     () -> {
                         if (!listed.get()) {
@@ -221,8 +225,8 @@
     }
 
     /**
-     * For the answer to a probe or a release. Guards against answers that are never heard where connections come up soon, and
-     * against calls that pile up at a silent server where they may take long.
+     * Timeout for the answer to a probe or a release: the connect timeout within bounds. A very short one would miss
+     * answers that are on their way; a very long one would let calls pile up at an unresponsive server.
      */
     private static Duration callTimeout(Duration connectTimeout) {
         Duration least = connectTimeout.compareTo(LEAST_CALL) < 0 ? LEAST_CALL : connectTimeout;
@@ -230,8 +234,9 @@
     }
 
     /**
-     * Where there is a door, not before this process is ready: beside another one that serves it would say no to the
-     * front, and in a crowd a start on half a core took 3.2 s, 1.4 s without the crowd's connections.
+     * Listens at the clients' addresses. With an operators' API this is done only once the process is ready: next to an old
+     * process that still serves, it would fail health checks, and on half a core a start under load took 3.2 s, but 1.4 s
+     * without client connections.
      */
     private void listen() throws IOException {
         boolean shared = handover != null;
@@ -254,41 +259,41 @@
         }
     }
 
-    /** With the other process of this conductor, while there is one. */
+    /** Applies this process's share of the descriptors and of the work for cold servers. */
     private void share(Config.Limits limits, double part) {
         room.most(limits.clients());
         list.tell(new ListActor.Idle(limits.idle()));
         module.tellFirst(new ModuleActor.Beside(part));
     }
 
-    /** Where clients come, also before this process listens there. */
+    /** The clients' address, also before this process listens there. */
     public InetSocketAddress address() {
         return address == null ? config.listen() : address;
     }
 
-    /** Waits until the hot path has been run. */
+    /** Waits until the warm-up is done. */
     void awaitWarm() throws InterruptedException {
         warm.await();
     }
 
-    /** Null where the chat API is off. */
+    /** Address of the chat API; null if it is off or this process doesn't listen yet. */
     public InetSocketAddress chatAddress() {
         return chatAddress;
     }
 
-    /** Where operators call; null where there is no door. */
+    /** Address of the operators' API; null if it is off. */
     public InetSocketAddress door() {
         return door == null ? null : door.address();
     }
 
-    /** Takes over what may change while requests are open; the rest of a new configuration waits for a start. */
+    /** Applies the one setting that can change at run time, the address of discovery; all others need a restart. */
     public void reload(Config config) {
         if (discovery != null && config.discovery() != null) {
             discovery.move(config.discovery());
         }
     }
 
-    /** Writes what is recorded; once that is done or has failed, the returned ends. */
+    /** Writes the recorded events to the file; completes with whether that succeeded, or false if nothing is recorded. */
     CompletableFuture<Boolean> record() {
         return fileRecorder == null ? CompletableFuture.completedFuture(false) : fileRecorder.dump();
     }
@@ -301,19 +306,22 @@
         return listed.get() && warm.getCount() == 0 && lifecycle.healthy();
     }
 
-    /** Whether requests would be served, whoever is told to come. */
+    /** Whether requests that arrive would be served, also if health checks fail because of a drain. */
     private boolean serves() {
         return serving && !lifecycle.stopping();
     }
 
-    /** Answers what was taken and what still comes, as a {@link Lifecycle} has it, lets go of what is held, and returns. */
+    /**
+     * Stops as {@link Lifecycle} says: answers the requests that are open or still arrive, releases read states, and
+     * returns.
+     */
     public void stop() throws InterruptedException {
         try {
             lifecycle
                     .stop(handover != null && handover.leaving().get(LOOK.toMillis(), TimeUnit.MILLISECONDS))
                     .get();
         } catch (ExecutionException | TimeoutException e) {
-            LOG.warning("whether another process serves is not known: " + e);
+            LOG.warning("cannot tell whether another process is serving: " + e);
             lifecycle.stop(false).join();
         }
         LOG.info("stopped; " + metrics.causes());
@@ -321,18 +329,18 @@
     }
 
     /**
-     * The last before the process's end, once it has stopped. The JVM's end waits up to 0.3 s for threads within a call of the
-     * system, as reactors are but for moments; the time kept free before the kill is shorter.
+     * Ends the reactors and the operators' API, as the last step after {@link #stop}. At its exit the JVM waits up to 0.3 s
+     * for threads that are in a system call, as idle reactors are; the time left before the kill is shorter than that.
      */
     void quiesce() {
-        turns.shutdownNow(); // else who is told of a connect's end would begin the next
+        turns.shutdownNow(); // first, as actors told of failed connects would start new ones
         servers().forEach(HttpFrontServer::quiesce);
         reactor.quiesce();
         if (door != null) {
             try {
                 door.close();
             } catch (IOException e) {
-                LOG.fine(() -> "the door's end: " + e);
+                LOG.fine(() -> "closing the operators' API: " + e);
             }
         }
     }
--- a/src/main/java/copperbeam/program/RegularTask.java
+++ b/src/main/java/copperbeam/program/RegularTask.java
@@ -6,20 +6,25 @@
 import java.util.logging.Level;
 import java.util.logging.Logger;
 
-/** A task that is repeated whatever it throws: the executor alone would never run it again after a failure. */
+/** A periodic task that continues after exceptions; the executor alone would never run it again after one. */
 final class RegularTask implements Runnable {
     private static final Logger LOG = Logger.getLogger(RegularTask.class.getName());
 
     private final String name;
     private final Runnable task;
-    private boolean failed; // the last time, which the log has
+    private boolean failed; // whether the last run failed, which has been logged
 
     private RegularTask(String name, Runnable task) {
         this.name = name;
         this.task = task;
     }
 
-    /** Runs the task after each such span, counted from the end of its last run. */
+    /**
+     * Runs the task again and again.
+     *
+     * @param interval from the end of a run to the start of the next
+     * @param name of the task, for the log
+     */
     static void start(ScheduledExecutorService executor, Duration interval, String name, Runnable task) {
         long nanos = interval.toNanos();
         executor.scheduleWithFixedDelay(new RegularTask(name, task), nanos, nanos, TimeUnit.NANOSECONDS);
@@ -30,9 +35,9 @@
         try {
             task.run();
             failed = false;
-        } catch (RuntimeException | Error e) { // Errors too: a JVM without descriptors throws them
+        } catch (RuntimeException | Error e) { // Errors too: the JVM throws some when file descriptors run out
             if (!failed) {
-                LOG.log(Level.WARNING, name + " goes on after a failure", e);
+                LOG.log(Level.WARNING, name + " failed; it will be run again", e);
             }
             failed = true;
         }
--- a/src/main/java/copperbeam/program/Rehearsal.java
+++ b/src/main/java/copperbeam/program/Rehearsal.java
@@ -14,9 +14,9 @@
 import java.util.Map;
 
 /**
- * A short life of a conductor on the loopback, at build time, so that the JVM can store the classes that a start and
- * the first requests need (AppCDS): half of a start's time went into reading and checking them. Beside the conductor
- * there are a discovery, a reader and a writer that serve every call, and a writer that turns each away.
+ * Runs a conductor for a short time on the loopback interface during the build, so that the JVM can archive the classes
+ * that a start and the first requests need (AppCDS); loading and verifying them took half of the start time. The conductor
+ * works with stand-ins for discovery, for a reader and a writer that serve every call, and for a writer that is always full.
  */
 final class Rehearsal {
     private static final int REQUESTS = 20;
@@ -67,7 +67,7 @@
                 free = next.getLocalPort();
             }
             Files.writeString(file, String.format(CONFIG, free, discovery.getLocalPort(), list));
-            Map<String, String> environment = new HashMap<>(System.getenv()); // as a start reads it
+            Map<String, String> environment = new HashMap<>(System.getenv()); // read as at a real start
             environment.keySet().removeIf(name -> name.startsWith("GW_"));
             environment.put("GW_CONFIG", file.toString());
             live(environment);
@@ -87,7 +87,7 @@
                 served += request(node.address(), i, i % 2 == 0 ? "c" : "once");
             }
             if (served == 0) {
-                throw new IllegalStateException("no request was served"); // the archive would lack what serves
+                throw new IllegalStateException("no request was served"); // the archive would lack classes for serving
             }
             node.reload(Config.reread(environment, null));
             node.stop();
@@ -108,7 +108,7 @@
         return "HTTP/1.1 " + status + "\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
-    /** Each call gets this answer, and those that let go of what is held are heard. Ends with the socket. */
+    /** Answers each call with {@code answer}, and releases (DELETE) with 204, until the socket is closed. */
     private static void serve(ServerSocket at, String answer) {
         daemon(() -> {
             while (true) {
@@ -150,7 +150,7 @@
                     try {
                         work.run();
                     } catch (IOException e) {
-                        // closed by the other side or at the end
+                        // the connection was closed by its peer, or the socket at the end of the rehearsal
                     }
                 },
                 "rehearsal");
@@ -158,7 +158,7 @@
         thread.start();
     }
 
-    /** 1 where it was answered 200. */
+    /** Sends a request; returns 1 if it is answered with status 200, else 0. */
     private static int request(InetSocketAddress to, int number, String requestClass) throws IOException {
         try (Socket client = new Socket(to.getAddress(), to.getPort())) {
             client.setSoTimeout(PATIENCE_MS);
--- a/src/main/java/copperbeam/program/Reload.java
+++ b/src/main/java/copperbeam/program/Reload.java
@@ -7,7 +7,7 @@
 import sun.misc.Signal;
 import sun.misc.SignalHandler;
 
-/** What SIGHUP asks for: the configuration is read anew while requests go on. */
+/** Reloads the configuration on SIGHUP, without interrupting requests. */
 final class Reload {
     /** Reads and checks the whole configuration. */
     interface Source {
@@ -22,8 +22,9 @@
     private Reload() {}
 
     /**
-     * Guards against the JVM's own answer to SIGHUP, which is to end: to be called first in a start. Signals that come close
-     * together, or before {@link #begin}, are taken one after another, so that the file read last is the one that counts.
+     * Installs the handler for SIGHUP. Must be called first at a start, as the JVM's own handler ends the process. Signals
+     * are handled one after another, and those before {@link #start} once it is called, so the last version of the file
+     * counts.
      */
     static Reload onHangup() {
         Reload reload = new Reload();
@@ -35,19 +36,19 @@
         SignalHandler before = Signal.handle(
                 new Signal("HUP"), signal -> one.execute(() -> reload(reload.source.join(), reload.running.join())));
         if (before == SignalHandler.SIG_IGN) {
-            // the JVM leaves alone what its parent ignores, and says nothing of it
-            LOG.warning("SIGHUP is ignored by whoever started this, as nohup does: no configuration will be read anew");
+            // the JVM installs no handler for a signal that its parent process set to be ignored, and doesn't report it
+            LOG.warning("SIGHUP is ignored, as set by the parent process (nohup does so): the configuration can't be reloaded");
         }
         return reload;
     }
 
-    /** What the signals that have come, and those to come, are for. */
+    /** Sets where signals, including those received already, read the configuration from, and which node gets it. */
     void begin(Source configuration, Node node) {
         source.complete(configuration);
         running.complete(node);
     }
 
-    /** A faulty file changes nothing. */
+    /** Reads the configuration and applies it to the node; an invalid one changes nothing. */
     static void reload(Source source, Node node) {
         try {
             node.reload(source.read());
--- a/src/main/java/copperbeam/program/ResumedStreamCounter.java
+++ b/src/main/java/copperbeam/program/ResumedStreamCounter.java
@@ -9,11 +9,11 @@
 import java.util.concurrent.ConcurrentLinkedDeque;
 
 /**
- * Counts the clients that ask here for the rest of a stream: where some come within seconds, another conductor has cut
- * theirs and is not back yet. Conductors share nothing, so that this is all that one learns of another.
+ * Counts recent requests that resume a stream. Several within seconds show that another conductor has cut its streams and
+ * is not back yet. Conductors share no state, so this is their only information about each other.
  */
 final class ResumedStreamCounter implements Intake {
-    private static final Duration WINDOW = Duration.ofSeconds(5); // a restart's length
+    private static final Duration WINDOW = Duration.ofSeconds(5); // about as long as a conductor's restart takes
     private static final int MOST_COUNTED = 16;
 
     private final Intake next;
@@ -41,7 +41,7 @@
         next.left(answer);
     }
 
-    /** {@link #MOST_COUNTED} at most. */
+    /** Number of streams resumed within the last {@link #WINDOW}; at most {@link #MAX_COUNTED}. */
     long recent() {
         Instant from = clock.instant().minus(WINDOW);
         return arrivals.stream().filter(at -> at.isAfter(from)).count();
--- a/src/main/java/copperbeam/program/Section.java
+++ b/src/main/java/copperbeam/program/Section.java
@@ -14,9 +14,9 @@
 import java.util.Map;
 import java.util.Set;
 
-/** One object of a configuration file; what it throws names the key at fault by its whole path. */
+/** A JSON object of a configuration file; its exceptions name the key at fault by its full path. */
 final class Section {
-    static final double LONGEST_S = 1e9; // twice as long is still a span in nanoseconds
+    static final double LONGEST_S = 1e9; // twice as much still fits a long in nanoseconds
 
     private final String path;
     private final Map<String, Object> values;
@@ -64,7 +64,7 @@
         return values.get(key) != null;
     }
 
-    /** In a file that people write, a key that nobody reads is a slip. */
+    /** Rejects unknown keys; for files that people write, where they are likely to be typing errors. */
     void only(Set<String> keys) throws Config.Invalid {
         for (String key : values.keySet()) {
             if (!keys.contains(key)) {
@@ -81,7 +81,7 @@
         return value;
     }
 
-    /** Guards against numbers that no comparison holds for, which JSON has not but its readers take. */
+    /** Rejects NaN and infinite numbers at any depth; they are not valid JSON, but the parser accepts them. */
     void finite() throws Config.Invalid {
         for (String key : values.keySet()) {
             finite(values.get(key), at(key));
@@ -138,7 +138,7 @@
         }
     }
 
-    /** A span above 0, in seconds unless the key's name says otherwise. One that no clock can reckon with is the longest. */
+    /** A duration above 0 s, given in seconds and capped at {@link #MAX_DURATION_S}. */
     Duration span(String key, double absent) throws Config.Invalid {
         Object value = has(key) ? values.get(key) : Double.valueOf(absent);
         if (!(value instanceof Number n) || !(n.doubleValue() > 0)) {
@@ -147,7 +147,7 @@
         return ModuleTime.span(Math.min(n.doubleValue(), LONGEST_S));
     }
 
-    /** A number of at least {@code least}; its fraction is left out, and what is above {@code most} counts as that. */
+    /** A number of at least {@code min}, rounded down and capped at {@code max}. */
     int atMostCount(String key, int absent, int least, int most) throws Config.Invalid {
         Object value = has(key) ? values.get(key) : Integer.valueOf(absent);
         if (!(value instanceof Number n) || !(n.doubleValue() >= least)) {
@@ -170,21 +170,21 @@
         return n.intValue();
     }
 
-    /** Of a number that may be left out. */
+    /** Rejects a number above {@code max}; the key may be absent. */
     void atMost(String key, double most) throws Config.Invalid {
         if (get(key) instanceof Number n && n.doubleValue() > most) {
             throw invalid(key, "is above " + (long) most);
         }
     }
 
-    /** Of a number that may be left out. */
+    /** Rejects negative numbers and other types of value; the keys may be absent. */
     void notNegative(String... keys) throws Config.Invalid {
         for (String key : keys) {
             notNegative(key, values.get(key));
         }
     }
 
-    /** Of a list of numbers that may be left out. */
+    /** Rejects negative numbers in a list; the key may be absent. */
     void noneNegative(String key) throws Config.Invalid {
         if (get(key) instanceof List<?> list) {
             for (int i = 0; i < list.size(); i++) {
--- a/src/main/java/copperbeam/program/SharedFolder.java
+++ b/src/main/java/copperbeam/program/SharedFolder.java
@@ -22,17 +22,18 @@
 import java.util.logging.Logger;
 
 /**
- * The files by which the processes of one conductor know of each other: {@code NAME.state}, replaced whole, and
- * {@code NAME.lock}, of which each living process holds one byte. On one thread. What can't be read or written is said in
- * the log once, and the process goes on by itself.
+ * The files that the processes of one conductor share: {@code NAME.state}, replaced atomically, and {@code NAME.lock}, of
+ * which each running process keeps one byte locked. If a file can't be read or written, one warning is logged and the
+ * process continues with its own copy of the state. Not thread-safe.
  */
 final class SharedFolder implements AutoCloseable {
     private static final Logger LOG = Logger.getLogger(SharedFolder.class.getName());
     private static final int SLOTS = 8;
-    private static final int WRITING = 100; // the byte that whoever writes holds
-    private static final int BEATING = 128; // where the last beat is written
+    private static final int WRITING = 100; // byte of the lock file that is locked while the state file is replaced
+    private static final int BEATING = 128; // offset of the last heartbeat in the lock file
     private static final Duration BEAT = Duration.ofSeconds(1);
-    static final Duration KEPT = Duration.ofSeconds(60); // since anybody lived here; a restart takes a few
+    // a state file that no process has used for so long is ignored; a restart takes a few seconds
+    static final Duration KEPT = Duration.ofSeconds(60);
 
     private final String conductor;
     private String incarnation;
@@ -41,12 +42,16 @@
     private final Path part;
     private final FileChannel channel;
     private final LastHeld lastHeld;
-    private final FileLock own; // held for life: the system lets go of it whatever ends the process
+    private final FileLock own; // the operating system releases it however the process ends
     private SharedState state = SharedState.EMPTY;
     private Instant beat = Instant.MIN;
     private String complaint = "";
 
-    /** Fails where the folder can't be written to. */
+    /**
+     * Registers this process in the shared state.
+     *
+     * @throws IOException if the folder can't be written to, or too many processes run
+     */
     SharedFolder(Path folder, String conductor, Clock clock) throws IOException {
         this.conductor = conductor;
         this.clock = clock;
@@ -61,7 +66,7 @@
         try {
             own = begin(Files.getLastModifiedTime(locks).toInstant());
         } catch (IOException | RuntimeException e) {
-            channel.close(); // and with it the lock: this process may try again
+            channel.close(); // releases the lock too, as this process may try again
             throw e;
         }
     }
@@ -69,19 +74,22 @@
     private FileLock begin(Instant modified) throws IOException {
         FileLock lock = claim();
         if (lock == null) {
-            throw new IOException("more than " + SLOTS + " processes of this conductor live");
+            throw new IOException("more than " + SLOTS + " processes of this conductor are running");
         }
         int slot = (int) lock.position();
         Duration unheld = lastHeld.ago().orElse(Duration.between(modified, clock.instant()));
         if (living(slot).size() == 1 && Files.exists(file) && unheld.compareTo(KEPT) > 0) {
-            LOG.warning(file + " is not taken: nobody has held it for " + unheld.toSeconds() + " s");
+            LOG.warning(file + " is not taken: no process has used it for " + unheld.toSeconds() + " s");
             Files.delete(file);
         }
         change(slot, s -> s.life(incarnation, new Life(afterAll(s), Phase.STARTING, slot)));
         return lock;
     }
 
-    /** Later than the start of each process known: the wall clock may have stepped back since, and the later start serves. */
+    /**
+     * The present time, or later if needed to be after the start of each known process: the wall clock may have stepped
+     * back, and of two processes the one started later serves.
+     */
     private Instant afterAll(SharedState known) {
         Instant now = clock.instant();
         return known.lives().values().stream()
@@ -101,7 +109,7 @@
         return null;
     }
 
-    /** Null where it is held, by another process or by another conductor of this one. */
+    /** Locks one byte of the lock file; null if another process, or another conductor in this process, holds it. */
     private FileLock lock(long at) throws IOException {
         try {
             return channel.tryLock(at, 1, false);
@@ -127,12 +135,12 @@
         return state;
     }
 
-    /** Whether another process of this conductor lives. */
+    /** Whether another process of this conductor runs. */
     boolean others() {
         return state.others(incarnation);
     }
 
-    /** {@code leaving}: the part of a process in whose place another serves. */
+    /** The position of this process; {@code leavingShare}: share of cold-server work for a process that has a successor. */
     Handover.Beside beside(double leaving) {
         boolean serving = false;
         boolean left = false;
@@ -146,12 +154,15 @@
         return new Handover.Beside(others(), succeeded(), part);
     }
 
-    /** Whether one that started later serves. */
+    /** Whether a process started later is serving. */
     boolean succeeded() {
         return state.successor(incarnation).isPresent();
     }
 
-    /** Back too, as no life goes: the process goes on as a later one of the same start and slot. */
+    /**
+     * Sets the phase of this process. As a process in the shared state never returns to an earlier phase, going back adds it
+     * under a new incarnation with the same start time and slot.
+     */
     void phase(Phase phase) {
         Life before = state.lives().get(incarnation);
         if (phase.compareTo(before.phase()) < 0) {
@@ -160,12 +171,12 @@
         change(s -> s.life(incarnation, new Life(before.started(), phase, before.slot())));
     }
 
-    /** Takes in what others have written and writes what they lack. */
+    /** Merges what other processes have written, and writes back what they lack. */
     void look() {
         change(s -> s);
     }
 
-    /** What was written before this returns is found by whoever reads after it. */
+    /** Applies a change to the state and writes it; any process that reads after this returns sees it. */
     void change(UnaryOperator<SharedState> change) {
         change((int) own.position(), change);
     }
@@ -186,13 +197,16 @@
             }
         } catch (IOException e) {
             state = change.apply(state);
-            complain("what is shared with an upgrade's other process can't be written: " + e);
+            complain("cannot write the state shared with other processes: " + e);
         } finally {
             release(writing);
         }
     }
 
-    /** Null where another holds it for long: it may have been stopped, and what it then overwrites is mended. */
+    /**
+     * Waits up to 40 ms for the write lock. Null if another process holds it for longer; it may have been suspended, and
+     * whatever it overwrites when it continues is restored by the next merge.
+     */
     private FileLock writing() throws IOException {
         for (int i = 0; i < 20; i++) {
             FileLock lock = lock(WRITING);
@@ -215,7 +229,7 @@
                 lock.release();
             }
         } catch (IOException e) {
-            complain("a lock can't be let go: " + e);
+            complain("cannot release a lock: " + e);
         }
     }
 
@@ -238,7 +252,7 @@
         }
     }
 
-    /** Another's part of the address begins here: the process is gone from the list of the living. */
+    /** Releases the locks, so that other processes no longer count this one as running. */
     @Override
     public void close() throws IOException {
         channel.close();
--- a/src/main/java/copperbeam/program/StopLogManager.java
+++ b/src/main/java/copperbeam/program/StopLogManager.java
@@ -3,13 +3,13 @@
 import java.util.logging.LogManager;
 
 /**
- * Keeps the log open until the process ends. The JDK's own manager closes it in a shutdown hook, so that nothing of a stop
- * would be logged.
+ * Keeps the log handlers open until the process ends. The JDK's own log manager closes them in a shutdown hook, so log lines
+ * of the stop would be lost.
  */
 public final class StopLogManager extends LogManager {
     private static volatile boolean kept;
 
-    /** From now on the log stays open. */
+    /** Keeps the log handlers open from now on. */
     static void keep() {
         kept = true;
     }
--- a/src/main/java/copperbeam/program/WarmUp.java
+++ b/src/main/java/copperbeam/program/WarmUp.java
@@ -11,20 +11,24 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Runs the hot path before the first client comes: a throw-away module through a few hundred requests, and
- * calls to our own listener that end before the core. Guards against a first second of late answers while
- * classes load and code is compiled on one core.
+ * Runs the hot path before the first client arrives: some requests through a separate instance of the decision module, and
+ * calls to this process's own front that are answered before they reach the module. Without it, answers would be late in the
+ * first second, while one core loads classes and compiles code.
  */
 final class WarmUp {
     private static final int REQUESTS = 10;
-    private static final int STEPS = 8; // for each of them
+    private static final int STEPS = 8; // per request
     private static final int CALLS = 3;
     private static final Duration SILENCE = Duration.ofSeconds(1);
-    private static final int MOST = 64 * 1024; // bytes of an answer; our own have a few
+    private static final int MOST = 64 * 1024; // limit for the body of an answer; those of this process are much shorter
 
     private WarmUp() {}
 
-    /** {@code warm} runs once all is done, whatever the calls were answered; {@code self} null: no calls are made. */
+    /**
+     * Starts the warm-up; {@code onDone} runs at its end, whatever the calls' results.
+     *
+     * @param ownAddress address of this process's front; null: no calls are made
+     */
     static void start(Api.Settings settings, HttpClient client, InetSocketAddress self, Runnable warm) {
         module(settings);
         if (self == null) {
@@ -40,7 +44,7 @@
             warm.run();
             return;
         }
-        // without an id a request is answered 400 by the front, and no attempt is made
+        // as the request has no id, the front answers it with status 400, and no attempt is made
         byte[] body = number % 2 == 0 ? null : "{\"stream\":true}".getBytes(StandardCharsets.UTF_8);
         client.whole(
                 self,
@@ -67,7 +71,7 @@
                     settings.classes().get(i % settings.classes().size()).name();
             List<Api.Action> actions = brain.on(
                     now, new Api.Arrival(i, requestClass, null, "s" + i % 40, "p" + i % 7, 2000, 1000, 200, now + 5));
-            // guards against a start as long as the attempts that the settings allow, which may be any number
+            // bounded, as the settings may allow any number of attempts, and the start must not take so long
             for (int attempt = 0;
                     attempt < Math.min(settings.limits().maxAttempts(), STEPS) && !actions.isEmpty();
                     attempt++) {
@@ -76,7 +80,7 @@
         }
     }
 
-    /** Answers what the module asks for: a probe, a look again, a read, and then a whole stream. */
+    /** Feeds the module the results of its actions (probes, short timers, a read, then a complete stream); returns new ones. */
     private static List<Api.Action> step(Brain brain, double now, long request, int attempt, List<Api.Action> actions) {
         List<Api.Action> next = new ArrayList<>();
         for (Api.Action action : actions) {
--- a/src/main/java/copperbeam/record/Explain.java
+++ b/src/main/java/copperbeam/record/Explain.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** What people read of a recording: one request's life, or how requests and attempts ended, counted. */
+/** Prints a recording for people: one request's events, all events, or counts of how requests and attempts ended. */
 public final class Explain {
     private final Recording recording;
     private final PrintStream out;
@@ -20,7 +20,10 @@
         this.out = out;
     }
 
-    /** By the id that its client gave, or the conductor's number; false where the recording has none of it. */
+    /**
+     * Prints the events of one request, given the id that its client sent or the conductor's own number of it; returns
+     * false if the recording has none.
+     */
     public boolean request(String id) {
         List<Event> life = recording.requests().entrySet().stream()
                 .filter(e -> String.valueOf(e.getKey()).equals(id) || id.equals(id(e.getValue())))
@@ -49,7 +52,7 @@
         return true;
     }
 
-    /** How requests ended, by class, reason and last attempt, and how attempts ended. */
+    /** Prints counts of how requests ended, by class, reason and last attempt, and of how attempts ended. */
     public void causes() {
         out.printf(
                 Locale.ROOT,
@@ -71,7 +74,7 @@
         table("attempts: role, connection, end", attempts);
     }
 
-    /** Each event in a line, those of no request too. */
+    /** Prints one line per event, including events that belong to no request. */
     public void events() {
         recording
                 .events()
--- a/src/main/java/copperbeam/record/FileRecorder.java
+++ b/src/main/java/copperbeam/record/FileRecorder.java
@@ -16,10 +16,10 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.logging.Logger;
 
-/** Holds the last events in a {@link Ring} and writes them to a file when asked to, on a thread of its own. */
+/** Keeps the latest events in a {@link Ring}; writes them to a file on request or at a broken rule, on its own thread. */
 public final class FileRecorder implements Recorder {
     private static final Logger LOG = Logger.getLogger(FileRecorder.class.getName());
-    private static final Duration BREACHES = Duration.ofSeconds(60); // between files written for broken rules
+    private static final Duration BREACHES = Duration.ofSeconds(60); // minimum between files written for broken rules
     static final int FORMAT = 1;
 
     private final Clock clock;
@@ -35,7 +35,10 @@
     });
     private Instant breached;
 
-    /** {@code turns}: the actors' thread; {@code bytes}: of memory for events, 256 at least. */
+    /**
+     * @param scheduler runs the actors' thread, on which {@link #note} is called
+     * @param bytes memory for events, at least 256
+     */
     public FileRecorder(ScheduledExecutorService turns, Clock clock, String name, Path file, int bytes) {
         this.turns = turns;
         this.clock = clock;
@@ -72,7 +75,7 @@
         return span.isNegative() ? 0 : span.toNanos() / 1000;
     }
 
-    /** From any thread; ends once the file is written, false where it could not be. */
+    /** Writes the file. Thread-safe. Completes with true once the file is written, with false if that failed. */
     public CompletableFuture<Boolean> dump() {
         CompletableFuture<Boolean> written = new CompletableFuture<>();
         turns.execute(() -> write(ring.copy(), ring.lost(), written));
@@ -93,7 +96,7 @@
                     header.writeDelimitedTo(out);
                     out.write(events);
                 }
-                // whole or not at all, as somebody may be reading the last one
+                // replaced in one step, as somebody may be reading the previous file
                 Files.move(part, file, java.nio.file.StandardCopyOption.REPLACE_EXISTING);
                 LOG.info("recorded to " + file);
                 written.complete(true);
--- a/src/main/java/copperbeam/record/Recording.java
+++ b/src/main/java/copperbeam/record/Recording.java
@@ -13,9 +13,13 @@
 import java.util.List;
 import java.util.Map;
 
-/** A recorder's file as read back: whole events only, as the last may be cut off. */
+/** The contents of a recorder's file. If the last event is truncated, it is left out. */
 public record Recording(Header header, List<Event> events) {
-    /** Throws {@link IOException} where the file can't be read or is no recording. */
+    /**
+     * Reads a file.
+     *
+     * @throws IOException if it can't be read or is not a recording
+     */
     public static Recording read(Path file) throws IOException {
         try (InputStream in = new BufferedInputStream(Files.newInputStream(file))) {
             Header header = Header.parseDelimitedFrom(in);
@@ -28,13 +32,13 @@
                     events.add(e);
                 }
             } catch (com.google.protobuf.InvalidProtocolBufferException e) {
-                // cut off within an event; those before it are whole
+                // the file is truncated within an event; those before it are complete
             }
             return new Recording(header, events);
         }
     }
 
-    /** The events of each request, by the conductor's number, in order. */
+    /** The events of each request in order, by the conductor's own number of the request. */
     Map<Long, List<Event>> requests() {
         Map<Long, List<Event>> all = new LinkedHashMap<>();
         for (Event e : events) {
@@ -45,7 +49,7 @@
         return all;
     }
 
-    /** The word at a place of an event's text, or an empty one. */
+    /** The word at an index of an event's text, or an empty string. */
     static String word(Event e, int at) {
         String[] words = e.getText().split(" ");
         return at < words.length ? words[at] : "";
--- a/src/main/java/copperbeam/record/Ring.java
+++ b/src/main/java/copperbeam/record/Ring.java
@@ -6,9 +6,9 @@
 import java.io.UncheckedIOException;
 
 /**
- * The last messages added, each behind its length, in two halves of fixed size: where one is full the older one is
- * emptied and takes its place. So at least half of the size is always held, and what is held begins with a whole
- * message. Not for use by several threads.
+ * Ring buffer of the latest messages, each preceded by its length. It has two halves of fixed size: when the current one is
+ * full, the older one is cleared and becomes the current one. So at least one filled half is kept once messages are dropped,
+ * and the contents begin with a complete message. Not thread-safe.
  */
 final class Ring {
     private byte[] current;
@@ -19,16 +19,16 @@
     private int olderCount;
     private long lost;
 
-    /** {@code bytes}: 256 at least. */
+    /** {@code bytes}: total size, at least 256. */
     Ring(int bytes) {
         if (bytes < 256) {
-            throw new IllegalArgumentException("a ring of less than 256 bytes");
+            throw new IllegalArgumentException("ring size below 256 bytes");
         }
         current = new byte[bytes / 2];
         older = new byte[bytes / 2];
     }
 
-    /** One that is larger than half of the ring is counted as lost. */
+    /** Adds a message; one that is larger than half of the ring is dropped and counted as lost. */
     void add(MessageLite message) {
         int size = message.getSerializedSize();
         int whole = size + CodedOutputStream.computeUInt32SizeNoTag(size);
@@ -52,18 +52,18 @@
             message.writeTo(out);
             out.flush();
         } catch (IOException e) {
-            throw new UncheckedIOException(e); // there was room for it
+            throw new UncheckedIOException(e); // can't happen, as there is room for the message
         }
         used += whole;
         count++;
     }
 
-    /** Messages that are held no more. */
+    /** Number of messages that were overwritten or too large. */
     long lost() {
         return lost;
     }
 
-    /** A copy of all that is held, the oldest first. */
+    /** A copy of the contents, oldest message first. */
     byte[] copy() {
         byte[] all = new byte[olderUsed + used];
         System.arraycopy(older, 0, all, 0, olderUsed);
--- a/src/main/java/copperbeam/record/package-info.java
+++ b/src/main/java/copperbeam/record/package-info.java
@@ -1,8 +1,8 @@
 /**
- * The recorder: the last events of a conductor in a bounded ring of bytes, written out on a signal, at a stop or at
- * a broken rule, and what {@code copperbeam explain} makes of such a file.
+ * The recorder: keeps the latest events of a conductor in a ring buffer and writes them to a file on a signal, at a stop or
+ * at a broken rule. Also the reader of such files for {@code copperbeam explain}.
  *
- * <p>{@code program} makes a {@link copperbeam.record.FileRecorder} where one is asked for; {@code routing} knows
- * its interface alone. Without one no class of this package is loaded.
+ * <p>{@code program} creates a {@link copperbeam.record.FileRecorder} if the command line asks for one; {@code routing}
+ * knows only its interface. If nothing is recorded, no class of this package is loaded.
  */
 package copperbeam.record;
--- a/src/main/java/copperbeam/simhost/Decoder.java
+++ b/src/main/java/copperbeam/simhost/Decoder.java
@@ -14,13 +14,14 @@
 import java.util.List;
 import java.util.Map;
 
-/** Turns wire messages into the module's settings and events: names for names, units for units. */
+/** Converts the simulator's messages to the decision module's settings and events: translates names and converts units. */
 public final class Decoder {
     private static final double US = 1e-6;
-    private static final double RELEASE_S = 1; // s to hold a read state where no rule bounds it
+    private static final double RELEASE_S = 1; // lease of a read state if the settings don't bound it
 
     private Decoder() {}
 
+    /** Decodes the settings; also used for the program's own configuration file. */
     public static Settings settings(Map<String, Object> c) throws Wire.Malformed {
         Map<String, Object> extra = part(c, "extra");
         Map<String, Object> limits = part(c, "limits");
@@ -56,8 +57,7 @@
                     role(at(roles, k, String.class, "both", "role_by_kind")),
                     at(memory, k, Number.class, 0, "memory_tokens").doubleValue()));
         }
-        // figures of a rule that is not told, or told as nothing, are no rule: held to 0 they would allow no send at
-        // all
+        // a rule whose number is missing or 0 is off, or gets a default; a limit of 0 would forbid all attempts
         double release = number(extra, "release_s", 0);
         double fall = number(rules, "fall_multiple", 0);
         return new Settings(
@@ -85,7 +85,7 @@
                 flag(extra, "resume"));
     }
 
-    /** The event, or null for a message that the module has no use for. */
+    /** Decodes an event; null for a message that the module doesn't use. */
     static Event event(Wire.Message m) throws Wire.Malformed {
         Map<String, Object> f = m.fields();
         switch (m.name()) {
--- a/src/main/java/copperbeam/simhost/SimHost.java
+++ b/src/main/java/copperbeam/simhost/SimHost.java
@@ -15,7 +15,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Hosts one {@link Brain} for each instance on the simulator's wire. Translates, decides nothing. */
+/** Runs one {@link Brain} per instance that the simulator starts, and translates messages and actions between them. */
 public final class SimHost {
     private static final JsonFactory JSON = new JsonFactory();
 
@@ -27,7 +27,7 @@
 
     private SimHost() {}
 
-    /** Serves until the end of input; the exit code. */
+    /** Serves until the end of input or an invalid line; returns the exit code. */
     public static int run(InputStream in, OutputStream out, PrintStream err) throws IOException {
         BufferedReader lines = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), 1 << 16);
         SimHost host = new SimHost();
@@ -48,7 +48,7 @@
         return 0;
     }
 
-    /** True where the reply to a batch is complete. */
+    /** Handles a message; returns true if it ended its batch, so that the reply is complete. */
     private boolean take(Wire.Message m) throws IOException {
         if (m.name().equals("frame")) {
             now = Wire.number(m.fields(), "wall_s");
--- a/src/main/java/copperbeam/simhost/Wire.java
+++ b/src/main/java/copperbeam/simhost/Wire.java
@@ -9,13 +9,13 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads one line of the wire into plain maps, and takes typed fields out of them. */
+/** Parses a line of the simulator's protocol into maps, and reads typed fields from them. */
 public final class Wire {
     private static final JsonFactory JSON = new JsonFactory();
 
     private Wire() {}
 
-    /** What is wrong with a line. */
+    /** An invalid line; the message says what is wrong. */
     public static final class Malformed extends IOException {
         private static final long serialVersionUID = 1L;
 
@@ -24,7 +24,7 @@
         }
     }
 
-    /** A message: its name and its fields. */
+    /** A message of the protocol. */
     record Message(String name, Map<String, Object> fields) {}
 
     static Message message(String line) throws IOException {
@@ -103,14 +103,14 @@
         return present(field(m, key, Map.class), key);
     }
 
-    /** An object that may be left out. */
+    /** An optional object; empty if absent. */
     @SuppressWarnings("unchecked")
     static Map<String, Object> part(Map<String, Object> m, String key) throws Malformed {
         Map<String, Object> v = field(m, key, Map.class);
         return v == null ? Map.of() : v;
     }
 
-    /** A list that may be left out. */
+    /** An optional list; empty if absent. */
     @SuppressWarnings("unchecked")
     static List<Object> list(Map<String, Object> m, String key) throws Malformed {
         List<Object> v = field(m, key, List.class);
@@ -141,7 +141,7 @@
         return present(field(m, key, Number.class), key).doubleValue();
     }
 
-    /** A number that is left out where it is {@code absent}. */
+    /** An optional number; {@code defaultValue} if absent. */
     static double number(Map<String, Object> m, String key, double absent) throws Malformed {
         Number v = field(m, key, Number.class);
         return v == null ? absent : v.doubleValue();
--- a/src/test/java/copperbeam/ci/KnownRedTest.java
+++ b/src/test/java/copperbeam/ci/KnownRedTest.java
@@ -11,7 +11,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** What `.ci/run` makes of KNOWN-RED.txt, with a stand-in for Maven that lays down made-up reports and leaves its log. */
+/** How `.ci/run` applies KNOWN-RED.txt, with a stand-in for Maven that writes prepared reports and prints a log. */
 public class KnownRedTest {
     private static final String CLOSING = "[ERROR] Tests run: 3, Failures: 1, Errors: 0, Skipped: 0";
     private static final String LINE = "a.FirstTest#two | mvn -Dtest=FirstTest test, seed 3 | never done | issue 7\n";
@@ -47,7 +47,7 @@
         String both = report(ONE, TWO);
         String rows = report(ONE, fails("two(int)[1]"), passes("two(int)[2]"));
         return new Object[][] {
-            // the list or null, the report or null, Maven's status, the run's status, what it says
+            // KNOWN-RED.txt or null, Maven's report or null, Maven's exit status, expected exit status, expected output
             {null, both, 0, 0, CLOSING},
             {null, both, 1, 1, CLOSING},
             {"", report(ONE), 0, 0, CLOSING},
@@ -74,7 +74,7 @@
             {LINE, report(ONE), 0, 1, "listed, but did not run: a.FirstTest#two\n"},
             {LINE, report(ONE, ends("two", "<skipped/>")), 0, 1, "listed, but is skipped: a.FirstTest#two\n"},
             {LINE.replace("First", "Second"), both, 0, 1, "did not run: a.SecondTest#two\n"},
-            // rows
+            // parameterised tests
             {LINE.replace("two", "two[1]"), rows, 0, 0, "passed over: a.FirstTest#two[1] "},
             {LINE.replace("two", "two[2]"), rows, 0, 1, "fails and is not listed: a.FirstTest#two(int)[1]\n"},
             {LINE, rows, 0, 1, "listed, but passes: a.FirstTest#two(int)[2]\n"},
@@ -86,7 +86,7 @@
                 1,
                 "not listed: a.FirstTest#two(int)[12]\n"
             },
-            // something else went wrong
+            // other failures
             {LINE, null, 1, 1, "[ERROR] COMPILATION ERROR"},
             {LINE, both, 1, 1, CLOSING},
             {LINE, null, 0, 1, "no report of a.FirstTest\n"},
@@ -94,7 +94,7 @@
             {LINE, "", 0, 1, "not whole: "},
             {LINE, suite(3, 1, ONE + TWO), 0, 1, "says 3 tests, 1 failed, and has 2, 1"},
             {LINE, suite(2, 2, ONE + TWO), 0, 1, "says 2 tests, 2 failed, and has 2, 1"},
-            // the form
+            // format of the list
             {LINE + LINE.replace("#two", "#one"), report(TWO, fails("one")), 0, 0, "passed over: a.FirstTest#one "},
             {
                 LINE + LINE.replace("#two", "#b") + LINE.replace("#two", "#c") + LINE.replace("#two", "#d"),
@@ -116,7 +116,7 @@
         };
     }
 
-    /** Maven's status -1: it must not be called. */
+    /** A failing run passes only if all failures are listed. Maven status -1: Maven must not be called. */
     @Test(dataProvider = "rows")
     public void onlyWhatIsListedMayFail(String list, String report, int maven, int status, String says)
             throws Exception {
@@ -134,7 +134,7 @@
         }
     }
 
-    /** What Maven only logs where failures are ignored. */
+    /** If Maven ignores test failures, it only logs that the tests did not end in time. */
     @Test
     public void testsThatDontEndInTimeFail() throws Exception {
         Path root = root(LINE, report(ONE, TWO), 0);
@@ -142,7 +142,7 @@
         assertTrue(run(root, 1).contains("the tests did not end in time"));
     }
 
-    /** Guards against a fork that ends early, with the listed test behind it. */
+    /** A test process may end early, so that later test classes don't run, and leave only a failure that is listed. */
     @Test
     public void aClassWithoutAReportFails() throws Exception {
         Path root = root(LINE, report(ONE, TWO), 0);
@@ -150,7 +150,7 @@
         assertTrue(run(root, 1).contains("no report of a.LostTest"));
     }
 
-    /** Of an earlier run. */
+    /** Reports left by an earlier run are ignored. */
     @Test
     public void oldReportsDontCount() throws Exception {
         Path root = root(LINE, null, 0);
--- a/src/test/java/copperbeam/program/ConfigTest.java
+++ b/src/test/java/copperbeam/program/ConfigTest.java
@@ -15,7 +15,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** What is wrong in a configuration is told by its key. */
+/** Reading the configuration: defaults, and errors that name the key at fault. */
 public class ConfigTest {
     private static final String GOOD = """
             {"name":"n3","listen":"127.0.0.4:3000","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
@@ -55,7 +55,10 @@
         assertEquals(read(slow, null, Map.of()).connectTimeout(), Duration.ofSeconds(4));
     }
 
-    /** Only a discovery that must be asked, one service with one count of versions, is asked for what the list lacks. */
+    /**
+     * Discovery continues from the known version only if the list must be requested, as only then one service numbers all
+     * versions.
+     */
     @Test
     public void theKnownListIsGoneOnFromOnlyWhereTheListMustBeAsked() throws Exception {
         String asked = GOOD.replace("\"balancers\"", "\"discovery\":\"subscribe\",\"balancers\"");
@@ -65,7 +68,7 @@
         assertEquals(read(empty, null, Map.of()).knownListing(), null);
     }
 
-    /** Figures of rules, prices and reports that are not told have defaults with which the module can choose. */
+    /** Missing settings of rules, prices and reports get defaults with which the module can choose a server. */
     @Test
     public void whatIsNotToldStopsNoChoice() throws Exception {
         Config c = read(GOOD, null, Map.of());
@@ -95,7 +98,7 @@
                  "aim_us_per_1000_prompt_tokens":[40000.0,0,0]}}}
             """;
 
-    /** A setting never met: what stands in place of what. */
+    /** Unusual but valid settings: a part of {@link #COMPLETE} and its replacement. */
     @DataProvider
     public Object[][] odd() {
         return new Object[][] {
@@ -163,8 +166,8 @@
         };
     }
 
-    /** What is taken can be worked with: the module serves a request of each class, with one server of each kind. */
-    @Test(dataProvider = "odd", timeOut = 30_000) // what a start may take
+    /** With any configuration that is accepted, the module serves a request of each class, with one server of each kind. */
+    @Test(dataProvider = "odd", timeOut = 30_000) // limit for a start
     public void whatIsTakenServesEachClass(String usual, String odd) throws Exception {
         assertTrue(WHOLE.contains(usual), usual);
         Api.Settings settings = read(WHOLE.replace(usual, odd), null, Map.of()).settings();
@@ -192,7 +195,7 @@
         }
     }
 
-    /** Each attempt goes well at once, as do probes; timers of less than a second are waited for, one after another. */
+    /** Attempts and probes succeed at once; timers shorter than a second fire one after another, others never. */
     private static boolean served(Brain brain, Api.Settings settings, int request) {
         double now = 2 + 10 * request;
         ArrayDeque<Api.Action> todo = new ArrayDeque<>(brain.on(
@@ -226,7 +229,10 @@
         return false;
     }
 
-    /** The platform kills 0.7 s after the longest deadline, counted as 3 s at most; the operator's word goes before. */
+    /**
+     * The stop timeout is 0.7 s plus the longest deadline, which counts as 3 s at most; a setting in the operator file takes
+     * precedence. Rows: settings of the class, operator file or null, expected timeout in ms.
+     */
     @DataProvider
     public Object[][] deadlines() {
         return new Object[][] {
@@ -346,7 +352,7 @@
         assertTrue(e.getMessage().startsWith(told), e.getMessage());
     }
 
-    /** The operator's example in the repository is one that loads. */
+    /** The example of an operator file in the repository is valid. */
     @Test
     public void theExampleLoads() throws Exception {
         String settings = GOOD.replace(
--- a/src/test/java/copperbeam/program/GeneratedSettingsTest.java
+++ b/src/test/java/copperbeam/program/GeneratedSettingsTest.java
@@ -15,10 +15,10 @@
 import java.util.TreeMap;
 import org.testng.annotations.Test;
 
-/** Configurations drawn from seeds: each is taken and its classes are served, or the key at fault is named. */
+/** Random configurations: valid ones are accepted and their classes served; for invalid ones, the key at fault is named. */
 public class GeneratedSettingsTest {
     private static final int SEEDS = Integer.getInteger("settings.seeds", 1500);
-    private static final int MOST_TOLD = 12; // failures; one cause has many seeds
+    private static final int MOST_TOLD = 12; // bounds the output, as one cause fails for many seeds
 
     private static Config read(Path file, GeneratedSettings drawn) throws Exception {
         Files.writeString(file, drawn.json());
@@ -82,7 +82,7 @@
         }
     }
 
-    /** One request before one idle server of each kind, each of which does at once what it is asked. */
+    /** Simulates one request, with one idle server of each kind that answers at once. */
     private static final class OneRequest {
         private record Due(double at, Api.Event event) {}
 
@@ -101,7 +101,7 @@
             brain = new Brain(settings, 7);
         }
 
-        /** Null where the request is served, or what was sent and said instead. */
+        /** Null if the request is served, else the end of the log of the module's actions. */
         static String unserved(Api.Settings settings, int requestClass, Map<String, String> roles) {
             return new OneRequest(settings, roles)
                     .run(settings.classes().get(requestClass).name());
--- a/src/test/java/copperbeam/program/LifecycleActorTest.java
+++ b/src/test/java/copperbeam/program/LifecycleActorTest.java
@@ -36,15 +36,15 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The end of a stop with something on its way that no connection or request shows yet. */
+/** A stop must not end while a client or a request is on its way that is not counted as open yet. */
 public class LifecycleActorTest {
     private static final int PATIENCE_MS = 10_000;
 
-    /** Goes on as a test says; holds the thread of one name at each look. */
+    /** A clock that the test advances; blocks the thread of a given name at each reading. */
     private static final class Held extends Clock {
         final CountDownLatch looked = new CountDownLatch(1);
         final CountDownLatch go = new CountDownLatch(1);
-        final AtomicInteger turns = new AtomicInteger(); // looks of the actors
+        final AtomicInteger turns = new AtomicInteger(); // readings by the actors' thread
         private final String thread;
         private volatile Instant now = Instant.now();
 
@@ -52,7 +52,7 @@
             this.thread = thread;
         }
 
-        /** Until the actors have had many, or all is over. */
+        /** Waits until the actors have read the clock 50 more times, or the stop has ended. */
         void awaitTurns(CompletableFuture<Void> end) throws InterruptedException {
             int from = turns.get();
             while (turns.get() < from + 50 && !end.isDone()) {
@@ -145,13 +145,13 @@
         return null;
     }
 
-    /** The threads by which a connection comes in. */
+    /** Names of the threads that a new connection passes through. */
     @DataProvider
     public Object[][] threads() {
         return new Object[][] {{"accept"}, {"from-clients"}};
     }
 
-    /** Guards against an end of the process with a client in the system's queue, or between two of the program's threads. */
+    /** The process must not end while a client is in the kernel's accept queue or on its way between two threads. */
     @Test(dataProvider = "threads")
     public void whoIsOnTheWayInIsServedBeforeTheEnd(String thread) throws Exception {
         Held clock = new Held(thread);
@@ -162,25 +162,28 @@
             assertTrue(clock.looked.await(PATIENCE_MS, TimeUnit.MILLISECONDS));
             CompletableFuture<Void> end = parts.lifecycle.stop(false);
             clock.awaitTurns(end);
-            clock.advance(Duration.ofSeconds(1)); // fronts know, and nothing is open
+            clock.advance(Duration.ofSeconds(1)); // load balancers had time to notice, and nothing is open
             clock.awaitTurns(end);
-            assertFalse(end.isDone(), "it ends though a client is on its way in");
+            assertFalse(end.isDone(), "the stop ended while a client was connecting");
             clock.go.countDown();
             BufferedReader in =
                     new BufferedReader(new InputStreamReader(client.getInputStream(), StandardCharsets.US_ASCII));
             assertEquals(in.readLine(), "HTTP/1.1 200 OK");
-            clock.advance(Duration.ofMillis(100)); // its connection closes
+            clock.advance(Duration.ofMillis(100)); // time to close its connection
             end.get(PATIENCE_MS, TimeUnit.MILLISECONDS);
         }
     }
 
-    /** Guards against what servers hold for a request that came after the last look at whether any is open, its client gone. */
+    /**
+     * A request that arrives after the last check for open ones, and whose client then leaves, is ended before the process
+     * ends; otherwise servers would keep read states for it.
+     */
     @Test
     public void whatIsOpenWithoutAClientIsEndedBeforeTheEnd() throws Exception {
         Held clock = new Held("none");
         try (Parts parts = new Parts(clock)) {
             CompletableFuture<Void> end = parts.lifecycle.stop(false);
-            clock.awaitTurns(end); // it has found that nothing is open
+            clock.awaitTurns(end); // the stop has found that nothing is open
             CompletableFuture<String> told = new CompletableFuture<>();
             Answer answer = (Answer) Proxy.newProxyInstance(
                     getClass().getClassLoader(),
--- a/src/test/java/copperbeam/record/RecorderTest.java
+++ b/src/test/java/copperbeam/record/RecorderTest.java
@@ -31,7 +31,7 @@
 import org.testng.annotations.AfterClass;
 import org.testng.annotations.Test;
 
-/** The ring, the file and what is made of it. */
+/** The ring buffer, the recorder's file and its explanation. */
 public class RecorderTest {
     private final ScheduledExecutorService turns = Executors.newSingleThreadScheduledExecutor();
 
@@ -40,7 +40,7 @@
         turns.shutdownNow();
     }
 
-    /** Against a plain list of all that was added: what is held is its end, whole, and at least half the ring. */
+    /** Compares the ring with a list of all added messages: it keeps the latest ones complete, filling at least half of it. */
     @Test
     public void theRingHoldsTheEndOfWhatWasAdded() throws Exception {
         Random random = new Random(3);
@@ -69,7 +69,7 @@
                 assertEquals(held.get(i), last.next());
             }
             assertTrue(ring.copy().length <= bytes);
-            assertTrue(ring.lost() == 0 || ring.copy().length > bytes / 2 - 70, "half of it is held");
+            assertTrue(ring.lost() == 0 || ring.copy().length > bytes / 2 - 70, "less than half of the ring is in use");
         }
     }
 
@@ -82,7 +82,7 @@
         assertThrows(IllegalArgumentException.class, () -> new Ring(255));
     }
 
-    /** The format's names are those of the interface, in its order. */
+    /** The file format has the same event types as the interface, in the same order. */
     @Test
     public void theFormatHasTheInterfacesNames() {
         for (Recorder.What what : Recorder.What.values()) {
@@ -124,7 +124,7 @@
         assertTrue(two.contains("connection attempt 0 r1 kept (40.000 ms)\n"), two);
         assertEquals(explained(file, e -> assertFalse(e.request("four"))), "");
 
-        // cut off within the last event, as on a full disk
+        // truncated within the last event, as on a full disk
         byte[] whole = Files.readAllBytes(file);
         Files.write(file, java.util.Arrays.copyOf(whole, whole.length - 3));
         assertEquals(Recording.read(file).events().size(), 14);
@@ -132,7 +132,7 @@
         assertThrows(IOException.class, () -> Recording.read(file));
     }
 
-    /** A broken rule is written at once, and a flood of them once a minute. */
+    /** A broken rule makes the recorder write its file at once, but at most once a minute. */
     @Test
     public void aBrokenRuleIsWrittenAtOnce() throws Exception {
         Path file = Files.createTempDirectory("recorder").resolve("log");
@@ -147,7 +147,7 @@
         while (!Files.exists(file) && System.nanoTime() < until) {
             Thread.onSpinWait();
         }
-        assertEquals(Recording.read(file).events().size(), 1, "the first; the others wait for their minute");
+        assertEquals(Recording.read(file).events().size(), 1, "only the first event makes it write within a minute");
     }
 
     @Test
