--- a/src/test/java/copperbeam/model/Attempt.java
+++ b/src/test/java/copperbeam/model/Attempt.java
@@ -1,27 +1,27 @@
 package copperbeam.model;
 
-/** One attempt as the wire shows it. */
+/** One attempt, as it can be observed on the connection. */
 final class Attempt {
-    /** What its end proves. */
+    /** What the end of an attempt proves about its execution. */
     enum Proof {
-        /** Nothing: it may have run. */
+        /** Nothing: the request may have run. */
         NONE,
-        /** The server said that it did not run, or its last byte never left. */
+        /** The request did not run: the server said so, or its last byte was never sent. */
         NEVER_RAN
     }
 
     final ClientRequest request;
     final ModelProcess process;
     final ModelServer server;
-    final int number; // of those whose head has left
+    final int number; // index among the attempts of the request whose head was sent
     long lastByteAt = -1;
-    long arrivedAt = -1; // its last byte, at a server that runs
+    long arrivedAt = -1; // when the last byte reached a running server
     long overAt = -1;
     Proof proof = Proof.NONE;
     int eventsWritten;
     long[] writtenAt = new long[0];
     long endWrittenAt = -1;
-    long endHeardAt = -1; // by the process
+    long endHeardAt = -1; // when the process received the end of the answer
 
     Attempt(ClientRequest request, ModelProcess process, ModelServer server, int number) {
         this.request = request;
@@ -30,17 +30,17 @@
         this.number = number;
     }
 
-    /** Its last byte has left and its connection is open. */
+    /** The last byte was sent and the attempt has not ended. */
     boolean out() {
         return lastByteAt >= 0 && overAt < 0;
     }
 
-    /** The same, and a running server has it. */
+    /** The last byte has reached a running server and the attempt has not ended. */
     boolean arrivedAndOut() {
         return arrivedAt >= 0 && overAt < 0;
     }
 
-    /** It had an effect, or nobody can tell. */
+    /** The request had an effect, or it is unknown whether it had; a read has none. */
     boolean mayHaveRun() {
         return lastByteAt >= 0 && proof == Proof.NONE && server.role != copperbeam.Api.Role.READER;
     }
--- a/src/test/java/copperbeam/model/ClientRequest.java
+++ b/src/test/java/copperbeam/model/ClientRequest.java
@@ -7,7 +7,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** One request of a client, and the way back to it. */
+/** One request of a simulated client, which also receives the response. */
 final class ClientRequest implements Answer {
     enum Final {
         REFUSED,
@@ -27,8 +27,8 @@
     Final ending;
     long endedAt = -1;
     int finals;
-    long leftAt = -1; // the client closed
-    boolean excused; // its process was killed
+    long leftAt = -1; // when the client disconnected; -1 while connected
+    boolean excused; // the process was killed, so no answer can come
     long streamingSince = -1;
     long lastEventAt = -1;
 
@@ -49,7 +49,7 @@
         this.slowReader = slowReader;
     }
 
-    /** It needs nothing more: answered, left by its client, or lost with a process that was killed. */
+    /** Nothing more is owed: the request was answered, its client disconnected, or its process was killed. */
     boolean over() {
         return ending != null || leftAt >= 0 || excused;
     }
@@ -60,7 +60,7 @@
 
     @Override
     public void begin() {
-        world.log(this, "begin");
+        world.log(this, "stream begins");
         streamingSince = world.time.now();
     }
 
--- a/src/test/java/copperbeam/model/ColdRule.java
+++ b/src/test/java/copperbeam/model/ColdRule.java
@@ -6,10 +6,14 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** All processes together send a server in slow start no more than the settings allow, with a little for chance. */
+/**
+ * All processes together send no more work to a server in slow start than the settings allow in any window of
+ * {@code fall_s} seconds, with some tolerance for random fluctuation. Work is counted in calls of mean prompt length.
+ */
 final class ColdRule implements Rule {
-    private static final double FEW = 30; // calls, under which chance has more room
-    private static final double INFORMED = 2 / 3.0; // of the calls, from processes that know of the start
+    private static final double FEW = 30; // calls; a smaller nominal limit gets a larger relative tolerance
+    /** The limit applies if more than this share of the work comes from processes that know of the launch. */
+    private static final double INFORMED = 2 / 3.0;
 
     private record Call(long at, double weight, boolean informed) {}
 
@@ -21,8 +25,8 @@
     private final World world;
     private final Map<ModelServer, Window> windows = new HashMap<>();
     private final Map<ModelProcess, Map<ModelServer, Double>> known = new HashMap<>();
-    double worst; // sum against its bound
-    double worstOfN;
+    double worst; // largest ratio of the work to its bound
+    double worstOfN; // largest ratio of the work to the nominal limit, without tolerance
 
     ColdRule(World world) {
         this.world = world;
@@ -66,7 +70,7 @@
         if (sum > bound && informed > INFORMED * sum) {
             world.broken(
                     String.format(
-                            "%.1f calls of mean work to a cold server within %.2f s, bound %.1f, N %.1f",
+                            "%.1f calls of mean work to a cold server within %.2f s, bound %.1f, nominal limit %.1f",
                             sum, rules.fallS(), bound, n),
                     null,
                     server);
--- a/src/test/java/copperbeam/model/DrainRule.java
+++ b/src/test/java/copperbeam/model/DrainRule.java
@@ -5,7 +5,10 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Nothing is begun at a server from {@code drain_grace_s} after a process was told that it drains or is gone. */
+/**
+ * A process starts no attempt at a server later than {@code drain_grace_s} seconds after it was told that the server is
+ * draining or gone.
+ */
 final class DrainRule implements Rule {
     private static final long TIME_LIMIT_SLACK = 50 * VirtualTime.MILLI;
 
@@ -31,7 +34,7 @@
         Long since = drainsSince.getOrDefault(attempt.process, Map.of()).get(attempt.server);
         long grace = world.settings.drainGrace().toNanos() + TIME_LIMIT_SLACK + world.heldUp;
         if (since != null && world.time.now() - since > grace) {
-            world.broken("sent to a server that drains", attempt.request, attempt.server);
+            world.broken("sent to a draining server after the grace period", attempt.request, attempt.server);
         }
     }
 }
--- a/src/test/java/copperbeam/model/DrawnSettings.java
+++ b/src/test/java/copperbeam/model/DrawnSettings.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 
-/** Settings drawn over the usual ranges, with some of the corners. */
+/** Draws settings over their usual ranges, including some extreme values. */
 final class DrawnSettings implements WorldSettings.Source {
     private static final double[] RELEASE_S = {0.35, 0.5, 1, 2};
     private static final double[] WINDOWS_S = {0.3, 1, 2, 5};
--- a/src/test/java/copperbeam/model/EndedRequestTest.java
+++ b/src/test/java/copperbeam/model/EndedRequestTest.java
@@ -21,8 +21,8 @@
 import org.testng.annotations.Test;
 
 /**
- * From its final answer on, a request's last byte does not leave, also while the word that ends its attempt waits for the
- * actor of its server. Seed 30985 of an early {@link ModelTest} met it.
+ * Once a request has its final answer, the last byte of its attempt is no longer sent, even while the message that cancels
+ * the attempt is still queued at the peer actor. Seed 30985 of an early {@link ModelTest} found such a late send.
  */
 public class EndedRequestTest {
     private static final Duration TIMEOUT = Duration.ofMillis(250);
@@ -71,7 +71,7 @@
         time.run(100 * VirtualTime.MILLI);
         assertEquals(calls.size(), 1);
         assertEquals(calls.get(0).wanted().getAsBoolean(), true);
-        module.tell(new ModuleActor.HandOver()); // as a stop does, long before the request's time is up
+        module.tell(new ModuleActor.HandOver()); // as a stop does; long before the deadline of the request
         time.run(200 * VirtualTime.MILLI);
         assertEquals(seen, List.of("refuse, last byte wanted: false", "abort"));
     }
@@ -94,7 +94,7 @@
                 });
     }
 
-    /** Takes an attempt, of which the last byte waits for its turn. */
+    /** A connection that accepts an attempt but does not send its last byte yet; records all other calls. */
     private Connector.Connection connection() {
         return (Connector.Connection) Proxy.newProxyInstance(
                 getClass().getClassLoader(), new Class<?>[] {Connector.Connection.class}, (proxy, method, args) -> {
--- a/src/test/java/copperbeam/model/Exchange.java
+++ b/src/test/java/copperbeam/model/Exchange.java
@@ -8,7 +8,7 @@
 import copperbeam.routing.Connector.Word;
 import java.time.Duration;
 
-/** One call on a connection, and what comes back. */
+/** One call on a simulated {@link Link}, and its answer. */
 final class Exchange {
     private static final long RETRANSMIT = 20 * VirtualTime.MILLI;
 
@@ -19,12 +19,12 @@
     final AttemptCall call; // null for probes and releases
     final ModelServer.Fault fault;
     Attempt attempt;
-    private boolean over; // the listener has had its last word
+    private boolean over; // the listener has received its last notification
     private boolean lastByteLeft;
-    private long closedAt = Long.MAX_VALUE; // by the process, as the server hears it
-    private boolean aborted;
-    private long toldUntil = Long.MAX_VALUE;
-    private int unread;
+    private long closedAt = Long.MAX_VALUE; // when the server notices that the connection was closed
+    private boolean aborted; // closed with a TCP reset, so that a last byte still on its way is lost
+    private long toldUntil = Long.MAX_VALUE; // end of the timeout that the server was told
+    private int unread; // received bytes for which the process has not yet extended the receive window again
 
     Exchange(Link link, Call call, Listener listener) {
         world = link.world;
@@ -45,7 +45,7 @@
 
     // ---- to the server -------------------------------------------------------------------------
 
-    /** The head is written. */
+    /** Sends the head of an attempt, or a whole probe or release. */
     void leave() {
         if (!link.isOpen()) {
             toldBroken();
@@ -70,8 +70,8 @@
         toldUntil = world.time.now() + told.toNanos();
         world.log(
                 request,
-                "head of attempt " + attempt.number + " to " + link.server + " tells " + told.toMillis() + " ms"
-                        + (call.hold() ? ", held" : "") + (fault == null ? "" : ", will meet " + fault));
+                "head of attempt " + attempt.number + " to " + link.server + " announces " + told.toMillis() + " ms"
+                        + (call.hold() ? ", last byte held back" : "") + (fault == null ? "" : ", will meet fault " + fault));
         world.rules(r -> r.headLeft(attempt, told));
         if (fault == ModelServer.Fault.RESET_BEFORE_LAST_BYTE && call.hold()) {
             link.serverResets();
@@ -93,7 +93,7 @@
             return;
         }
         if (!call.wanted().getAsBoolean()) {
-            world.log(attempt.request, "not wanted any more");
+            world.log(attempt.request, "last byte not sent, the attempt is no longer wanted");
             link.close();
             return;
         }
@@ -117,7 +117,7 @@
         tellClose();
     }
 
-    /** The server's machine hears of a close once it can be reached. */
+    /** Notifies the server of a close, retransmitting while the server is unreachable. */
     private void tellClose() {
         if (link.server.reachable(link.process)) {
             closedAt = Math.min(closedAt, world.time.now() + world.latency());
@@ -134,12 +134,12 @@
         return world.time.now() >= closedAt;
     }
 
-    /** The time for which its process waits, by its own word, is over. */
+    /** The timeout that the process announced in the head has expired. */
     boolean overAtServer() {
         return world.time.now() >= toldUntil;
     }
 
-    /** Nobody waits for it any more, and for so long that the server surely knows. */
+    /** The call was closed or has expired at least {@code minAge} nanoseconds ago, so that the server has noticed. */
     boolean goneAtServer(long since) {
         return world.time.now() - since >= Math.min(closedAt, toldUntil);
     }
@@ -152,7 +152,7 @@
         link.toProcess(() -> {
             if (!over) {
                 if (attempt != null) {
-                    world.log(attempt.request, "attempt " + attempt.number + " hears " + word);
+                    world.log(attempt.request, "attempt " + attempt.number + " receives " + word);
                 }
                 listener.word(word, report);
             }
@@ -200,7 +200,7 @@
         link.serverResets();
     }
 
-    /** The process heard that the connection is gone. */
+    /** The process has learned that the connection is gone. */
     void broken() {
         attemptOver(lastByteLeft ? Attempt.Proof.NONE : Attempt.Proof.NEVER_RAN);
         toldBroken();
@@ -217,12 +217,12 @@
         if (attempt != null && attempt.overAt < 0) {
             attempt.overAt = world.time.now();
             attempt.proof = lastByteLeft ? proof : Attempt.Proof.NEVER_RAN;
-            world.log(attempt.request, "attempt " + attempt.number + " is over, " + attempt.proof);
+            world.log(attempt.request, "attempt " + attempt.number + " ended, proof " + attempt.proof);
             world.rules(r -> r.attemptOver(attempt));
         }
     }
 
-    // ---- the window ----------------------------------------------------------------------------
+    // ---- flow control ----------------------------------------------------------------------------
 
     int unread() {
         return unread;
--- a/src/test/java/copperbeam/model/Faults.java
+++ b/src/test/java/copperbeam/model/Faults.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 
-/** Draws what goes wrong in a world, and when. */
+/** Draws the faults of a world and their times, and injects them. */
 final class Faults {
     private static final long FIRST = VirtualTime.SECOND / 2;
     private static final long LAST = 7 * VirtualTime.SECOND;
@@ -35,7 +35,7 @@
 
     Faults(World world) {
         this.world = world;
-        random = world.random.split(); // the same faults whatever the program does
+        random = world.random.split(); // a source of its own, so that the faults do not depend on what the router does
     }
 
     void draw() {
@@ -88,7 +88,7 @@
         }
     }
 
-    /** Once for each process, as what the rules allow it for a hold-up is that of one. */
+    /** Pauses a process for up to 300 ms; at most once per process, as the rules allow for a single pause. */
     private void holdUp(ModelProcess p) {
         if (heldUp.add(p)) {
             p.thread.block(world.time.now() + (long) (random.nextDouble() * 300 * VirtualTime.MILLI));
@@ -107,7 +107,7 @@
         s.stop();
         world.time.after(span / 2, () -> {
             s.startCold();
-            world.log(s, "up and cold");
+            world.log(s, "restarted cold");
             tellAll(s);
         });
     }
@@ -138,7 +138,7 @@
         });
     }
 
-    /** Each process is told at its own time; what is told is how the list has it then. */
+    /** Announces a server to each process after a delay of its own, with its state at that time. */
     private void tellAll(ModelServer s) {
         for (int i = 0; i < world.processes.size(); i++) {
             int index = i;
@@ -206,7 +206,7 @@
         world.time.after((long) (random.nextDouble() * 2 * VirtualTime.SECOND), () -> world.start(p.index));
     }
 
-    /** The steps of a stop as the life cycle takes them. */
+    /** Stops a process in the steps that copperbeam.lifecycle.Lifecycle takes, and starts a new one afterwards. */
     private void stop(ModelProcess p) {
         if (p.ended() || !p.takesClients) {
             return;
--- a/src/test/java/copperbeam/model/GeneratedSettings.java
+++ b/src/test/java/copperbeam/model/GeneratedSettings.java
@@ -11,12 +11,12 @@
 import java.util.stream.IntStream;
 
 /**
- * A whole configuration drawn from a seed: each field that the pages name, over its range and at its corners, with
- * optional ones absent and unknown ones added. Corners that can't be served together (a single attempt where a read
- * and a write are needed) are left out, so that a drawn one must be taken unless {@link #spoilt} has made it invalid.
+ * A complete configuration drawn from a seed: each field of the specification over its range including extreme values, with
+ * optional fields omitted and unknown fields added. Combinations that can't be served (a single attempt where a read and a
+ * write are needed) are avoided, so a drawn configuration must be accepted unless {@link #drawInvalid} made it invalid.
  *
- * @param root what the file holds; addresses may be replaced
- * @param invalidKey the key that a refusal has to name, or null where the configuration has to be taken
+ * @param root the content of the file; a test may replace the addresses
+ * @param invalidKey the key that the error message must name, or null if the configuration must be accepted
  */
 public record GeneratedSettings(long seed, Map<String, Object> root, String invalidKey) {
     private static final String[] NAMES = {
@@ -51,12 +51,12 @@
     private static final int MOST_PRINTED = 6000;
     private static final String[] KINDS = {"prefill", "decode", "beide", "вид", "kind 4", "\uD83D\uDDA5"};
 
-    /** The same seed, the same configuration. */
+    /** Draws a valid configuration; the same seed gives the same configuration. */
     public static GeneratedSettings draw(long seed) {
         return new Draw(new SplittableRandom(seed)).configuration(seed);
     }
 
-    /** The configuration of the seed with one value that can't be meant. */
+    /** Draws the configuration of the seed and replaces one value by an invalid one. */
     public static GeneratedSettings spoilt(long seed) {
         GeneratedSettings whole = draw(seed);
         SplittableRandom random = new SplittableRandom(~seed);
@@ -66,7 +66,7 @@
         List<String> keys = new ArrayList<>(List.of(path.split("\\.")));
         String last = keys.remove(keys.size() - 1);
         if (last.equals("role_by_kind")) {
-            whole.settings().put("kinds", new ArrayList<>(List.of(KINDS))); // without kinds it is not read
+            whole.settings().put("kinds", new ArrayList<>(List.of(KINDS))); // role_by_kind is ignored unless kinds are listed
         }
         Object at = whole.root;
         for (String key : keys) {
@@ -80,7 +80,7 @@
         return new GeneratedSettings(seed, whole.root, spoil[2]);
     }
 
-    /** Where, what stands there instead, and the key that must be named. */
+    /** Each row: path of the value, the invalid JSON value, and the key that the error message must name. */
     private static final String[][] SPOILS = {
         {"settings.services.0.promise_s", "-1", "promise_s"},
         {"settings.services.0.promise_s", "\"1\"", "promise_s"},
@@ -198,7 +198,7 @@
         return object(root.get("settings"));
     }
 
-    /** The file's text. Numbers stand in any of JSON's forms. */
+    /** The text of the file, with numbers in varying JSON notations such as 10, 10.0, 10e0 and 1E+1. */
     public String json() {
         StringBuilder text = new StringBuilder();
         write(text, root, new SplittableRandom(seed * 31 + 7));
@@ -243,7 +243,7 @@
         };
     }
 
-    /** Draws the parts in a fixed order. */
+    /** Draws the parts of a configuration in a fixed order, as each draw depends on those before. */
     private static final class Draw {
         private final SplittableRandom random;
 
@@ -318,7 +318,7 @@
             int count = pick(1, 2, 3, 10);
             List<String> names = new ArrayList<>(List.of(NAMES));
             boolean equal = random.nextInt(4) == 0;
-            int noDroppable = random.nextInt(4); // 0: all have the same worth and aim
+            int noDroppable = random.nextInt(4); // 0: all classes have the same worth and the same promise_s
             List<Object> services = new ArrayList<>();
             for (int i = 0; i < count; i++) {
                 Map<String, Object> c = new LinkedHashMap<>();
@@ -350,7 +350,7 @@
             return customers;
         }
 
-        /** Servers that together can read and write; none: kinds are not told. */
+        /** Roles of the server kinds, which together can read and write; empty: no kinds are listed. */
         private List<Object> roles() {
             return switch (random.nextInt(7)) {
                 case 0 -> List.of();
@@ -370,7 +370,7 @@
             return penalties;
         }
 
-        /** {@code one}: a single attempt can serve a request. */
+        /** {@code oneAttemptSuffices}: a request can be served by a single attempt, so {@code send_cap} may be 1. */
         private Map<String, Object> limits(boolean one) {
             Map<String, Object> l = new LinkedHashMap<>();
             l.put("send_cap", one ? any(1, 2, 3, 4, 8) : any(2, 3, 4, 8));
@@ -464,7 +464,7 @@
             return pick("n3", "κόμβος 1", "a/b", "..", "n".repeat(300), "節点", "\uD83D\uDC1F", "\"");
         }
 
-        /** A key that may be left out, or told as nothing. */
+        /** Puts the value with this probability; otherwise omits the key, or sometimes sets it to null. */
         private void put(Map<String, Object> at, String key, Object value, double chance) {
             if (random.nextDouble() < chance) {
                 at.put(key, value);
@@ -473,7 +473,7 @@
             }
         }
 
-        /** New keys may come with any release. */
+        /** Sometimes adds an unknown key, which must be ignored, as any release may add keys. */
         private void unknown(Map<String, Object> at) {
             if (random.nextInt(6) == 0) {
                 at.put(
@@ -501,7 +501,7 @@
         return names;
     }
 
-    /** Kinds and their roles; one that is not told does both. */
+    /** The role of each kind; a kind without a configured role both reads and writes. Without kinds: a single kind "none". */
     public Map<String, String> roles() {
         Map<String, String> roles = new LinkedHashMap<>();
         List<?> told = (List<?>) object(settings().get("extra")).getOrDefault("role_by_kind", List.of());
@@ -512,7 +512,7 @@
         return roles.isEmpty() ? Map.of("none", "both") : roles;
     }
 
-    /** What a failure prints. */
+    /** For failure messages: the seed and the JSON text, cut off after 6,000 characters. */
     @Override
     public String toString() {
         String text = json();
--- a/src/test/java/copperbeam/model/GeneratedWorlds.java
+++ b/src/test/java/copperbeam/model/GeneratedWorlds.java
@@ -7,9 +7,9 @@
 import java.util.List;
 import java.util.Map;
 
-/** Worlds under whole configurations drawn by {@link GeneratedSettings}, read as the program reads them. */
+/** Draws complete configurations with {@link GeneratedSettings} and reads them with the decoder of the program. */
 final class GeneratedWorlds implements WorldSettings.Source {
-    private static final Duration LONGEST = Duration.ofSeconds(15); // of a client's patience; worlds are shorter
+    private static final Duration LONGEST = Duration.ofSeconds(15); // caps the drawn give_up_s, to keep worlds short
 
     @Override
     public WorldSettings draw(long seed, int processes) {
@@ -45,7 +45,7 @@
                 giveUp);
     }
 
-    /** A span of no length has no sum of calls to bound: worlds without one have the usual. */
+    /** Replaces a {@code fall_s} that is missing or 0 by 2 s: without a window there is no sum that {@link ColdRule} could check. */
     @SuppressWarnings("unchecked")
     private static void slowStartSpan(Map<String, Object> map) {
         if (map.get("rules") instanceof Map<?, ?> rules && !(rules.get("fall_s") instanceof Double s && s > 0)) {
--- a/src/test/java/copperbeam/model/GeneratedWorldsTest.java
+++ b/src/test/java/copperbeam/model/GeneratedWorldsTest.java
@@ -7,11 +7,11 @@
 import java.util.stream.LongStream;
 import org.testng.annotations.Test;
 
-/** The model test's rules under whole drawn configurations, corners included. */
+/** Checks the rules of {@link ModelTest} under complete drawn configurations, extreme values included. */
 public class GeneratedWorldsTest {
     private static final int WORLDS = Integer.getInteger("model.generated", 40);
     private static final long[] FOUND = {
-        5225, // what a cut read left was held while the next attempt's connection hung
+        5225, // the state of an interrupted read stayed held while the connect of the next attempt hung
     };
     private static final long FROM = Long.getLong("model.from", 1);
 
--- a/src/test/java/copperbeam/model/HeldRule.java
+++ b/src/test/java/copperbeam/model/HeldRule.java
@@ -5,12 +5,13 @@
 import java.util.Map;
 
 /**
- * While no attempt of a request is out, what is held for it is taken or let go within {@code release_s} and 0.3 s. An attempt that no
- * running server has is not out.
+ * A read state is fetched or released within {@code release_s} plus 0.3 s after the last attempt of its request has ended, or
+ * after a server began to hold the state if that is later. Attempts that have not arrived at a running server do not count.
  */
 final class HeldRule implements Rule {
     private static final long MORE = 300 * VirtualTime.MILLI;
-    private static final double REACHABLE = 0.2; // of the servers, or nobody can be asked
+    /** Share of the listed servers; a process that reaches fewer may find no server to ask for a release. */
+    private static final double REACHABLE = 0.2;
 
     private static final long LOOK = 50 * VirtualTime.MILLI;
 
@@ -54,7 +55,7 @@
             look(now);
         }
         long within = (long) (world.settings.settings().rules().releaseS() * 1e9) + MORE + world.heldUp;
-        heldSince.keySet().removeIf(id -> !world.stateOwners.containsKey(id)); // its server has ended
+        heldSince.keySet().removeIf(id -> !world.stateOwners.containsKey(id)); // the server that held it has stopped
         heldSince.forEach((id, since) -> {
             ClientRequest request = world.requests.get(id);
             boolean out = request.attempts.stream().anyMatch(Attempt::arrivedAndOut);
@@ -66,7 +67,7 @@
             long from = Math.max(since, lastEnd);
             boolean cutOff = unreachableAt.getOrDefault(request.process, -1L) >= from;
             if (!out && now - from > within && !request.process.killed && !cutOff) {
-                world.broken("held since " + World.time(from), request, world.stateOwners.get(id));
+                world.broken("read state held since " + World.time(from), request, world.stateOwners.get(id));
             }
         });
     }
--- a/src/test/java/copperbeam/model/Link.java
+++ b/src/test/java/copperbeam/model/Link.java
@@ -5,17 +5,17 @@
 import copperbeam.routing.Connector.Listener;
 import copperbeam.routing.Connector.Watcher;
 
-/** One connection from a process to a server: each of its ends may close before the other knows. */
+/** One simulated connection from a process to a server: either end may close it before the other end notices. */
 final class Link implements Connection {
     final World world;
     final ModelProcess process;
     final ModelServer server;
-    private final int life; // the server's, in which it was made
+    private final int life; // of the server, when the connection was opened; it changes when the server stops
     private final Watcher watcher;
-    private boolean open = true; // at the process
+    private boolean open = true; // as the process sees it
     private boolean serverClosed;
-    private boolean stalled; // something on its way to the process was lost
-    private long nextAt; // what comes keeps its order
+    private boolean stalled; // data to the process was lost, so TCP delivers nothing behind it
+    private long nextAt; // earliest next delivery at the process, so that data keeps its order
     private Exchange current;
     private long idleSince;
 
@@ -29,7 +29,7 @@
         watchIdle();
     }
 
-    /** The server closes what has stood idle; sometimes its word of that is late. */
+    /** The server closes the connection after the idle timeout; the process sometimes learns of it only 20 ms later. */
     private void watchIdle() {
         long since = idleSince;
         long limit = world.settings.connectionIdle().toNanos();
@@ -41,7 +41,7 @@
         });
     }
 
-    /** The connection still has its two ends, and what is sent there arrives. */
+    /** The server still has its end of the connection and can be reached. */
     boolean carries() {
         return !serverClosed && server.life == life && server.reachable(process);
     }
@@ -51,8 +51,8 @@
     }
 
     /**
-     * Runs it at the process after its way there, behind all that was sent before. Where something was lost on the way,
-     * nothing that follows passes.
+     * Delivers something to the process: runs the task after the network latency and after everything sent before. If
+     * anything is lost on the way, nothing behind it is delivered.
      */
     void toProcess(Runnable task) {
         nextAt = Math.max(nextAt + 1, world.time.now() + world.latency());
@@ -88,7 +88,7 @@
         });
     }
 
-    /** The server's end is gone and the process hears of it. */
+    /** The process learns that the server's end is gone. */
     void lost() {
         if (open) {
             open = false;
@@ -186,7 +186,7 @@
         });
     }
 
-    /** The process has died. */
+    /** The process has ended, and its end of the connection with it. */
     void drop() {
         open = false;
         world.links.remove(this);
--- a/src/test/java/copperbeam/model/ModelProcess.java
+++ b/src/test/java/copperbeam/model/ModelProcess.java
@@ -20,7 +20,7 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.function.Consumer;
 
-/** One process of the program below its sockets: the actors as the program puts them together. */
+/** One router process without its sockets: the same actors as in the real program, on one simulated thread. */
 final class ModelProcess {
     final World world;
     final int index;
@@ -29,11 +29,11 @@
     private final ModuleActor module;
     private final ReleaseActor releases;
     private final ListActor list;
-    private final Set<ModelServer> known = new LinkedHashSet<>(); // by the list as told
-    private final Map<Long, ClientRequest> byKey = new HashMap<>(); // as the module numbers them
-    private final ReferencePolicy reference; // in place of the program's actors, or null
+    private final Set<ModelServer> known = new LinkedHashSet<>(); // servers named in the last full list or in a change after it
+    private final Map<Long, ClientRequest> byKey = new HashMap<>(); // by the module's request number; filled only while logging
+    private final ReferencePolicy reference; // handles the requests in place of the actors if not null
     private boolean ended;
-    boolean killed; // and so owes nothing
+    boolean killed; // was killed, so that its open requests need no answer
     boolean takesClients = true;
 
     ModelProcess(World world, int index, String zone, long seed) {
@@ -66,7 +66,7 @@
             }
             if (byKey.containsKey(request)) {
                 String more = server == null ? " " + text : " " + server + " " + text;
-                world.log(byKey.get(request), "module notes " + what + " of attempt " + attempt + more);
+                world.log(byKey.get(request), "module records " + what + " of attempt " + attempt + more);
             }
         };
         module = new ModuleActor(
@@ -93,7 +93,7 @@
         return ended;
     }
 
-    /** Runs it on the thread of the sockets, unless the process has ended by then. */
+    /** Runs the task after a delay in nanoseconds, as the I/O thread would, unless the process has ended by then. */
     void reactor(long after, Runnable task) {
         world.time.after(after, () -> {
             if (!ended) {
@@ -140,12 +140,12 @@
         module.tell(new ModuleActor.Cut());
     }
 
-    /** Once nothing can come any more. */
+    /** Runs {@code onIdle} once all requests and releases are done; for use when no new request can arrive. */
     void drain(Runnable done) {
         module.tell(new ModuleActor.Drain(() -> releases.tell(new ReleaseActor.Drain(done))));
     }
 
-    /** By itself, or by a kill. */
+    /** Ends the process, after a drain or by a kill; all its connections are dropped. */
     void end() {
         ended = true;
         takesClients = false;
@@ -159,11 +159,11 @@
         end();
     }
 
-    /** The kill that ends a stop which has not ended by itself: what is not a stream should have its answer by now. */
+    /** Kills the process when the time for its stop is up: only streams may still be open by then. */
     void killAtStop() {
         world.open().stream()
                 .filter(r -> r.process == this && r.streamingSince < 0)
-                .forEach(r -> world.broken("unanswered at the end of a stop", r, null));
+                .forEach(r -> world.broken("no final answer by the end of the stop", r, null));
         kill();
     }
 
--- a/src/test/java/copperbeam/model/ModelServer.java
+++ b/src/test/java/copperbeam/model/ModelServer.java
@@ -9,9 +9,9 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** One server: a reader reads prompts one after another, a writer fetches read states and streams events. */
+/** One simulated server: a reader processes prompts one after another, a writer fetches read states and streams events. */
 final class ModelServer {
-    /** How one attempt goes wrong there. */
+    /** A fault that one attempt meets at a server. */
     enum Fault {
         ERROR,
         TURNED_AWAY,
@@ -23,7 +23,7 @@
         ANSWER_LOST
     }
 
-    private static final int WINDOW = 65_535;
+    private static final int WINDOW = 65_535; // a stream pauses while more bytes than this are unread at the process
 
     final World world;
     final String id;
@@ -32,20 +32,20 @@
     final long cell;
     final Api.Kind kind;
     final Api.Role role;
-    final double tokensPerSecond; // of prompts, when warm
-    final int slots;
-    final int queueMost;
-    final long eventGap;
-    final Set<Integer> cutFrom = new HashSet<>(); // processes
-
-    Api.ServerState state = Api.ServerState.READY; // as the list has it
-    double launchedAt; // in seconds; 0 is long ago
-    long startedAt = Long.MIN_VALUE / 2; // of this life, in the world's time
-    int life;
+    final double tokensPerSecond; // prompt tokens read per second when warm
+    final int slots; // streams at a time
+    final int queueMost; // longest queue in requests, at readers in prompts of mean length; the server refuses further requests
+    final long eventGap; // mean time between the events of a stream, in nanoseconds, when warm
+    final Set<Integer> cutFrom = new HashSet<>(); // indexes of the processes that can't reach this server
+
+    Api.ServerState state = Api.ServerState.READY; // as discovery lists it
+    double launchedAt; // launch time as discovery lists it, in seconds since the epoch; 0 means long ago
+    long startedAt = Long.MIN_VALUE / 2; // start of the current run, in virtual nanoseconds
+    int life; // increases with each stop
     boolean running = true;
-    boolean vanished;
+    boolean vanished; // packets to and from the server are lost, and its connections stay open
     long hungUntil = -1;
-    double slowness = 1;
+    double slowness = 1; // factor by which reads and streams take longer
     double faultChance;
     Fault[] faults = Fault.values();
     double lateConnects;
@@ -84,7 +84,7 @@
         return world.time.now() < hungUntil;
     }
 
-    /** The part of its capacity that it has now. */
+    /** The share of its warm capacity that the server has now; grows from {@code cold_from} to 1 in slow start. */
     double warmth() {
         return warmth((world.time.now() - startedAt) / 1e9);
     }
@@ -95,14 +95,14 @@
         return rules.coldFrom() + (1 - rules.coldFrom()) * age * age;
     }
 
-    /** Requests of mean work a second, when warm. */
+    /** Requests per second of mean prompt and answer length that the server can handle when warm. */
     double capacity() {
         double reads = tokensPerSecond / world.meanTokens();
         double streams = slots / world.meanStreamSeconds(eventGap);
         return role == Api.Role.READER ? reads : role == Api.Role.WRITER ? streams : Math.min(reads, streams);
     }
 
-    /** For a policy that sees the true state: seconds until a request that comes now would begin. */
+    /** Estimated seconds until a request that arrives now would begin, from the true state; for {@link ReferencePolicy}. */
     double trueDelayS() {
         double reads = Math.max(0, freeAt - world.time.now()) / 1e9;
         double streams =
@@ -132,7 +132,10 @@
         return world.random.nextDouble() < faultChance ? faults[world.random.nextInt(faults.length)] : null;
     }
 
-    /** Runs it then, or once the server no longer hangs; not in a later life. */
+    /**
+     * Runs the task after a delay in nanoseconds, or once the server no longer hangs if that is later; drops the task if the
+     * server has stopped by then.
+     */
     void later(long after, Runnable task) {
         int born = life;
         world.time.after(after, () -> {
@@ -193,7 +196,8 @@
         waitingTokens += x.tokens();
         later(freeAt - world.time.now(), () -> {
             waitingTokens -= x.tokens();
-            // a read that ends just as its connection is closed has ended well, as one of which no close was heard
+            // a read that completes less than 2 ms after its connection was closed or its timeout expired counts as completed:
+            // the server may not have noticed yet
             if (x.goneAtServer(2 * VirtualTime.MILLI)) {
                 return;
             }
--- a/src/test/java/copperbeam/model/ModelTest.java
+++ b/src/test/java/copperbeam/model/ModelTest.java
@@ -16,12 +16,12 @@
 import org.testng.annotations.Test;
 
 /**
- * The program's layers below its sockets, in drawn worlds over virtual time, under rules written from the pages alone.
- * {@code -Dmodel.worlds=10000} plays more of them, {@code -Dmodel.from=7} begins with that seed.
+ * Runs the router without its sockets in randomly drawn {@link World}s in virtual time, and checks rules that were written
+ * from the specification alone. {@code -Dmodel.worlds=10000} sets the number of worlds, {@code -Dmodel.from=7} the first seed.
  */
 public class ModelTest {
     private static final int WORLDS = Integer.getInteger("model.worlds", 200);
-    private static final int LOGGED = 2; // worlds for each rule
+    private static final int LOGGED = 2; // worlds per violated rule that are run again with a log
     private static final long FROM = Long.getLong("model.from", 1);
     private static final Logger ROUTING = Logger.getLogger("copperbeam.routing");
     private static final Logger ACTORS = Logger.getLogger(Actor.class.getName());
@@ -40,7 +40,7 @@
         @Override
         public void close() {}
     };
-    private String failure; // of an actor
+    private String failure; // an exception that an actor logged
     private final Map<String, Integer> ends = new TreeMap<>();
 
     @BeforeClass
@@ -55,7 +55,7 @@
         ACTORS.removeHandler(faults);
     }
 
-    /** Mostly one process or a handful, where more orders of events are seen in the same time. */
+    /** Number of processes in a world: mostly one or five, as small worlds run faster and so cover more event orders. */
     static int processes(long seed) {
         int draw = (int) Math.floorMod(seed * 31 + 7, 20L);
         return draw < 8 ? 1 : draw < 15 ? 5 : draw < 19 ? 20 + draw % 3 * 5 : 100;
@@ -87,7 +87,7 @@
             }
         }
         System.out.println(
-                "model: " + worlds + " worlds from seed " + FROM + ", " + load + ", requests by end " + ends);
+                "model: " + worlds + " worlds from seed " + FROM + ", " + load + ", requests by outcome " + ends);
         assertNull(broken.isEmpty() ? null : "of " + worlds + " worlds, seeds by rule: " + broken + "\n" + logs);
     }
 
--- a/src/test/java/copperbeam/model/Network.java
+++ b/src/test/java/copperbeam/model/Network.java
@@ -4,7 +4,7 @@
 import java.net.InetSocketAddress;
 import java.time.Duration;
 
-/** The connections of one process to servers. */
+/** Opens the simulated connections of one process to servers. */
 final class Network implements Connector {
     private final World world;
     private final ModelProcess process;
@@ -17,7 +17,7 @@
     @Override
     public void connect(InetSocketAddress to, Duration timeout, Watcher watcher) {
         ModelServer server = world.servers.get(to.getPort());
-        // the library looks at its time-outs only now and then
+        // the HTTP library checks for expired timeouts only from time to time, so a timeout may be noticed late
         long limit = (long) (timeout.toNanos() * (1 + 1.4 * world.random.nextDouble()));
         long late = world.random.nextDouble() < server.lateConnects ? world.lateConnect(process) : 0;
         long after = world.latency() + late;
--- a/src/test/java/copperbeam/model/ReconnectTest.java
+++ b/src/test/java/copperbeam/model/ReconnectTest.java
@@ -19,7 +19,7 @@
 import java.util.concurrent.ScheduledExecutorService;
 import org.testng.annotations.Test;
 
-/** A connection that breaks before the last byte left is replaced, and the new one has its own time to come up. */
+/** A connection that breaks before the last byte was sent is replaced, and the new connect has a full timeout of its own. */
 public class ReconnectTest {
     private static final Duration TIMEOUT = Duration.ofMillis(250);
 
@@ -56,11 +56,11 @@
         watchers.get(0).up(proxy(Connector.Connection.class));
         time.run(200 * VirtualTime.MILLI);
         listeners.get(0).broken(false);
-        time.run(300 * VirtualTime.MILLI); // beyond the first one's time
+        time.run(300 * VirtualTime.MILLI); // past the timeout of the first connect
         assertEquals(watchers.size(), 2);
         watchers.get(1).up(proxy(Connector.Connection.class));
         time.run(310 * VirtualTime.MILLI);
-        assertEquals(listeners.size(), 2, "written on the new connection");
+        assertEquals(listeners.size(), 2, "the call must be sent on the new connection as well");
     }
 
     private <T> T proxy(Class<T> type) {
--- a/src/test/java/copperbeam/model/ReferencePolicy.java
+++ b/src/test/java/copperbeam/model/ReferencePolicy.java
@@ -11,8 +11,9 @@
 import java.util.Optional;
 
 /**
- * A plain policy that sees the true state: the server with the shortest queue of those that work, one attempt after another
- * as far as the settings allow, and no refusals but at the end of a request's time.
+ * A simple policy that sees the true state of the servers, for comparison: it sends to the working server with the shortest
+ * expected delay, makes one attempt after another as far as the settings allow, and fails a request only at its deadline or
+ * when no further attempt is allowed.
  */
 final class ReferencePolicy {
     private static final long MARGIN = 50 * VirtualTime.MILLI;
@@ -39,7 +40,7 @@
         run.next();
     }
 
-    /** One request on its way through readers and writers. */
+    /** Takes one request through its attempts at readers and writers. */
     private final class Run {
         private final ClientRequest request;
         private int tries;
--- a/src/test/java/copperbeam/model/ServiceTest.java
+++ b/src/test/java/copperbeam/model/ServiceTest.java
@@ -13,15 +13,16 @@
 import org.testng.annotations.Test;
 
 /**
- * Each class, and the longest tenth of its prompts, gets at least half of what a plain policy that sees the true state gives
- * it in the same world.
+ * In each drawn world and for each class, the share of requests that the router serves is at least half the share that
+ * {@link ReferencePolicy}, which sees the true state of the servers, serves in the same world. The same holds for the tenth
+ * of the class's requests with the longest prompts.
  */
 public class ServiceTest {
     private static final int WORLDS = Integer.getInteger("model.worlds", 60);
     private static final long FROM = Long.getLong("model.from", 1);
-    private static final double LEAST = 0.5; // of the reference's share
-    private static final int ENOUGH = 100; // requests, for a share to tell something
-    private static final int ENOUGH_LONG = 40;
+    private static final double LEAST = 0.5; // lower bound, as a fraction of the reference's share
+    private static final int ENOUGH = 100; // fewer requests are too few to compare shares
+    private static final int ENOUGH_LONG = 40; // the same for the tenth with the longest prompts
     private static final Logger ROUTING = Logger.getLogger("copperbeam.routing");
 
     private record Share(int requests, double served) {
@@ -70,7 +71,7 @@
         return world;
     }
 
-    /** First tries whose clients stay. */
+    /** First tries (no client retries) whose client stayed connected and whose process was not killed. */
     private static List<ClientRequest> first(World world, String requestClass) {
         return world.requests.values().stream()
                 .filter(r -> r.ask.requestClass().equals(requestClass) && r.retries == 0)
@@ -97,7 +98,7 @@
         if (Math.min(own.requests, other.requests) >= enough && own.served < LEAST * other.served) {
             starved.add(String.format(
                     Locale.ROOT,
-                    "seed %d, %s: served %.2f of %d, by the reference %.2f of %d",
+                    "seed %d, %s: served a share of %.2f of %d requests, the reference %.2f of %d",
                     seed,
                     what,
                     own.served,
--- a/src/test/java/copperbeam/model/VirtualTime.java
+++ b/src/test/java/copperbeam/model/VirtualTime.java
@@ -16,15 +16,15 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongSupplier;
 
-/** The clock of one world and everything that is due on it, in nanoseconds since the world's start. */
+/** Virtual clock and event queue of one world, in nanoseconds since the world's start. */
 final class VirtualTime extends Clock {
-    /** Far from the epoch, as a start at 0 means long ago in a server list. */
+    /** Far from the epoch, as a launch time of 0 in a server list means long ago. */
     private static final Instant START = Instant.ofEpochSecond(1_000_000);
 
     static final long MILLI = 1_000_000;
     static final long SECOND = 1_000 * MILLI;
 
-    /** A task and the time at which it is due; tasks of one time run in the order in which they were scheduled. */
+    /** A scheduled task; tasks that are due at the same time run in the order in which they were scheduled. */
     static final class Due extends FutureTask<Void> implements ScheduledFuture<Void> {
         private final long at;
         private final long order;
@@ -69,7 +69,7 @@
         return at(now + nanos, task);
     }
 
-    /** Runs everything that is due until then; an exception of a task ends it. */
+    /** Runs all tasks that are due by {@code until}, in order; throws an ExecutionException if a task fails. */
     void run(long until) throws Exception {
         while (!queue.isEmpty() && queue.peek().at <= until) {
             Due due = queue.poll();
@@ -82,7 +82,7 @@
         now = until;
     }
 
-    /** One thread that executes tasks in their order, and timers. */
+    /** An executor on a simulated thread; it supports only {@code execute} and {@code schedule} with a delay in nanoseconds. */
     ScheduledExecutorService executor(Thread thread) {
         return (ScheduledExecutorService) Proxy.newProxyInstance(
                 getClass().getClassLoader(), new Class<?>[] {ScheduledExecutorService.class}, (proxy, method, args) -> {
@@ -92,11 +92,11 @@
     }
 
     /**
-     * A thread of one process. It runs one task after another, each of which takes some time of its core, and it may be held
-     * up; with its process it ends.
+     * The simulated thread of one process. It runs tasks one after another, each of which takes some virtual time; it can be
+     * paused, and it runs nothing any more once its process has ended.
      */
     static final class Thread {
-        private final LongSupplier cost; // of the next task
+        private final LongSupplier cost; // draws the duration of the next task in nanoseconds
         private final Deque<Runnable> ready = new ArrayDeque<>();
         private long busyUntil;
         private boolean awake;
--- a/src/test/java/copperbeam/model/World.java
+++ b/src/test/java/copperbeam/model/World.java
@@ -16,18 +16,21 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 
-/** One seeded world: processes of the program before one set of servers, clients, faults, and rules that watch. */
+/**
+ * One simulated scenario in virtual time, drawn from a seed: router processes in front of a common set of servers, with
+ * clients, faults and the {@link Rule}s that check what happens.
+ */
 final class World {
     private static final long TRAFFIC = 7 * VirtualTime.SECOND;
-    private static final long FRONT_MARGIN = 20 * VirtualTime.MILLI; // as the platform's front takes it off
+    private static final long FRONT_MARGIN = 20 * VirtualTime.MILLI; // the front subtracts this from the time the client waits
     private static final long CHECK = 20 * VirtualTime.MILLI;
     private static final int SESSIONS = 60;
 
-    /** What comes, against what the servers can do when warm. */
+    /** How much load a burst brings, compared with the capacity of the servers when warm. */
     enum Load {
-        /** Bursts are little more than the servers can do. */
+        /** Bursts of at most 1.3 times the capacity. */
         USUAL(1.3),
-        /** Bursts of up to 2.3 times the usual, as the customer tells of. */
+        /** Bursts of up to 2.3 times the usual load, even far above the capacity; such bursts were reported from operation. */
         BURSTS(Double.MAX_VALUE);
 
         private final double most;
@@ -46,11 +49,11 @@
     final List<ModelServer> servers = new ArrayList<>();
     final List<ModelProcess> processes = new ArrayList<>();
     final Map<String, ClientRequest> requests = new LinkedHashMap<>();
-    final Map<String, ModelServer> stateOwners = new HashMap<>(); // of read states, by request
+    final Map<String, ModelServer> stateOwners = new HashMap<>(); // the server that holds a read state, by request id
     final Set<Link> links = new LinkedHashSet<>();
     final boolean drainsTurnAway;
-    final long reportEach;
-    long heldUp; // what a process was held up at most by a busy core
+    final long reportEach; // nanoseconds after which a server renews its load report
+    long heldUp; // nanoseconds by which CPU contention and pause faults may delay a process; the rules allow for them
 
     private final List<Rule> rules = new ArrayList<>();
     private final List<Line> lines = new ArrayList<>();
@@ -58,7 +61,7 @@
     final boolean reference;
     private final Map<ClientRequest, Integer> events = new HashMap<>();
     private final Set<ClientRequest> open = new LinkedHashSet<>();
-    private final boolean[] reported = new boolean[5];
+    private final boolean[] reported = new boolean[5]; // which fields of a load report the servers fill in
     private final double meanTokens;
     private final double[] classFactor;
     private final int meanAnswer;
@@ -73,7 +76,12 @@
     private String broken;
     private int ids;
 
-    /** {@code reference}: a plain policy in place of the program, and no rules. */
+    /**
+     * Draws the world.
+     *
+     * @param logging keep a log, which is part of the message about a violation
+     * @param usesReferencePolicy run {@link ReferencePolicy} in place of the router, and check no rules
+     */
     World(long seed, int processCount, WorldSettings.Source source, Load load, boolean logs, boolean reference) {
         this.seed = seed;
         this.reference = reference;
@@ -149,7 +157,7 @@
         return p;
     }
 
-    /** The list as discovery has it. */
+    /** All servers that discovery lists at present, draining ones included. */
     List<ModelServer> listed() {
         return servers.stream().filter(s -> s.state != Api.ServerState.GONE).toList();
     }
@@ -157,7 +165,7 @@
     // ---- traffic -------------------------------------------------------------------------------
 
     private void traffic() {
-        boolean oneAttempt = settings.settings().limits().maxAttempts() == 1; // nobody reads for another then
+        boolean oneAttempt = settings.settings().limits().maxAttempts() == 1; // a separate reader would need an attempt of its own
         double reads = listed().stream()
                 .filter(s -> s.role == Api.Role.MIXED || !oneAttempt && s.role == Api.Role.READER)
                 .mapToDouble(ModelServer::capacity)
@@ -173,7 +181,7 @@
         long burstEnd = burstAt + (long) ((2 + 7.5 * random.nextDouble()) * VirtualTime.SECOND);
         traffic = String.format(
                 Locale.ROOT,
-                "%.1f requests/s of %.1f, %.1f times as many from %s to %s",
+                "%.1f requests/s at a capacity of %.1f, %.1f times as many from %s s to %s s",
                 perS,
                 Math.min(reads, writes),
                 burst,
@@ -246,7 +254,7 @@
     void leave(ClientRequest request) {
         if (!request.over()) {
             request.leftAt = time.now();
-            log(request, "its client leaves");
+            log(request, "client disconnects");
             rules(r -> r.clientLeft(request));
             request.process.reactor(reactorTurn(), () -> request.process.left(request));
         }
@@ -296,25 +304,28 @@
         return 200_000 + random.nextInt(800_000);
     }
 
-    /** Until the thread of the sockets comes to it. */
+    /** Draws the delay in nanoseconds until the transport's I/O thread handles an event. */
     long reactorTurn() {
         return random.nextInt(20) == 0 ? random.nextInt(5_000_000) : random.nextInt(100_000);
     }
 
-    /** Of the core, for one turn of an actor; others may have the core in between. */
+    /** Draws the time in nanoseconds that one actor task takes; on a slow CPU the thread may be preempted for up to 30 ms. */
     long taskCost() {
         boolean preempted = slowCore && random.nextInt(300) == 0;
         return random.nextInt(preempted ? 30_000_000 : slowCore ? 100_000 : 20_000);
     }
 
-    /** Another thread may get the core just as something is decided, and the actors' thread goes on later. */
+    /** On a slow CPU, sometimes pauses the actor thread for up to 20 ms just after a request was decided. */
     void mayPreempt(ModelProcess process) {
         if (slowCore && random.nextInt(50) == 0) {
             process.thread.block(time.now() + random.nextInt(20_000_000));
         }
     }
 
-    /** A connection that comes up late: at any time, or just as the time of an open request is up. */
+    /**
+     * Draws the extra delay of a late connect in nanoseconds: up to 1 s, or such that the connect completes just as the router's
+     * time for an open request runs out.
+     */
     long lateConnect(ModelProcess process) {
         if (random.nextInt(2) == 0) {
             List<ClientRequest> candidates = open().stream()
@@ -334,13 +345,13 @@
 
     void hold(String requestId, ModelServer server) {
         stateOwners.put(requestId, server);
-        log(requests.get(requestId), "held at " + server);
+        log(requests.get(requestId), "read state held at " + server);
         rules(r -> r.held(requestId));
     }
 
     void letGo(String requestId) {
         if (stateOwners.remove(requestId) != null) {
-            log(requests.get(requestId), "let go");
+            log(requests.get(requestId), "read state released");
             rules(r -> r.letGo(requestId));
         }
     }
@@ -375,7 +386,7 @@
         return String.format(Locale.ROOT, "%.6f", nanos / 1e9);
     }
 
-    /** Keeps the first break of a rule, with what led to it. */
+    /** Keeps the first violation of a rule, with the log of the request or server that it concerns. */
     void broken(String what, ClientRequest request, ModelServer server) {
         if (broken != null) {
             return;
@@ -410,7 +421,7 @@
         broken = text.toString();
     }
 
-    /** How many requests ended in which way, for a look at what worlds are like. */
+    /** Numbers of requests by how they ended, and under "attempts" the number of all attempts; {@link ModelTest} prints them. */
     Map<String, Integer> ends() {
         Map<String, Integer> ends = new TreeMap<>();
         for (ClientRequest r : requests.values()) {
@@ -421,7 +432,7 @@
         return ends;
     }
 
-    /** Null, or which rule was broken and how. */
+    /** Runs the world to its end; returns the first violation of a rule, or null. */
     String play() throws Exception {
         long longest = settings.giveUp().values().stream()
                 .mapToLong(Duration::toNanos)
@@ -437,7 +448,7 @@
         }
         rules.forEach(Rule::finish);
         if (broken == null && !open().isEmpty()) {
-            broken("not over at the world's end", open().iterator().next(), null);
+            broken("request still open at the end of the world", open().iterator().next(), null);
         }
         return broken;
     }
--- a/src/test/java/copperbeam/model/WorldSettings.java
+++ b/src/test/java/copperbeam/model/WorldSettings.java
@@ -5,10 +5,11 @@
 import java.util.Map;
 
 /**
- * What a configuration tells a process, and the figures of the rules that the program does not read itself.
+ * The configuration of a process, and the limits that only the {@link Rule}s use.
  *
- * @param idle connections that may stand idle at all servers together
- * @param giveUp for each class, how long its clients wait at most
+ * @param maxIdleConnections how many idle connections a process may keep to all servers together
+ * @param answerSlack how long after a request's deadline its final answer may come
+ * @param maxClientWait for each class, how long its clients wait at most
  */
 record WorldSettings(
         Api.Settings settings,
@@ -19,9 +20,9 @@
         Duration answerSlack,
         Map<String, Duration> giveUp) {
 
-    /** Where worlds get their settings. */
+    /** Draws the settings of a world. */
     interface Source {
-        /** The same settings for the same arguments. */
+        /** Deterministic: returns the same settings for the same arguments. */
         WorldSettings draw(long seed, int processes);
     }
 
