--- a/src/soak/c/fault_shim.c
+++ b/src/soak/c/fault_shim.c
@@ -1,7 +1,7 @@
 /*
- * Preloaded into one process under test. Makes its wall clock step and its system calls fail, as a control file says
- * that the test maps and writes; see copperbeam.soak.FaultShim, which has the same layout. Without a control file
- * every call goes to the C library unchanged. Monotonic clocks are never touched.
+ * A library that is preloaded into one process under test (LD_PRELOAD). It shifts the wall clock and makes system calls
+ * fail as a control file demands, which the test maps and writes; copperbeam.soak.FaultShim uses the same layout.
+ * Without a control file every call is passed to the C library unchanged. Monotonic clocks are never changed.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -19,20 +19,20 @@
 #include <time.h>
 #include <unistd.h>
 
-/* Places of the control file, 8 bytes each. A fault is an error number, how often it still strikes, how
- * often it has, and how many calls it spares before. */
+/* Slots of the control file, 8 bytes each. The four slots of a fault are: error number, number of calls that are still
+ * to fail, number of calls that have failed, and number of calls to let pass before the first failure. */
 enum {
     CLOCK_OFFSET_NS = 0,
-    SHORT_IO_BYTES = 1, /* most bytes of one read or write of a socket; 0: no limit */
-    SIGNAL_AT_LISTEN = 2,
-    FAULTS = 8,
-    FAULT_PLACES = 4
+    SHORT_IO_BYTES = 1, /* limit of one read from or write to a socket; 0: no limit */
+    SIGNAL_AT_LISTEN = 2, /* signal the process sends itself at its next listen; 0: none */
+    FAULTS = 8, /* first slot of the faults */
+    FAULT_PLACES = 4 /* slots per fault */
 };
 enum fault { ACCEPT, CONNECT, SOCKET, FILE_WRITE, FILE_SYNC, EPOLL_CREATE, FAULT_COUNT };
 
 #define SIZE (8 * (FAULTS + FAULT_PLACES * FAULT_COUNT))
 #define NS_PER_S 1000000000LL
-#define FIRST_FILE 3 /* below are standard input, output and error */
+#define FIRST_FILE 3 /* lower descriptors are standard input, output and error */
 
 static volatile int64_t *control;
 
@@ -48,7 +48,7 @@
     }
 }
 
-/* Whether the call is to fail now; errno is set then. */
+/* Returns whether this call has to fail, and updates the counters of the fault; sets errno if it has to fail. */
 static int strikes(enum fault which) {
     if (control == NULL) {
         return 0;
--- a/src/soak/java/copperbeam/soak/AttemptEnd.java
+++ b/src/soak/java/copperbeam/soak/AttemptEnd.java
@@ -2,11 +2,11 @@
 
 /** How an attempt ended at a server. */
 enum AttemptEnd {
-    /** It was answered as its role does, whole. */
+    /** The server answered completely, as a server of its role does. */
     SERVED,
-    /** 503, 504 or 410 with the word that nothing ran. */
+    /** 503, 504 or 410 with the header that says that nothing was run. */
     TURNED_AWAY,
-    /** An error, a reset, or half an answer. */
+    /** An error, a reset, or an incomplete answer. */
     FAILED,
     /** The conductor closed the connection first. */
     GIVEN_UP
--- a/src/soak/java/copperbeam/soak/ClientDriver.java
+++ b/src/soak/java/copperbeam/soak/ClientDriver.java
@@ -7,18 +7,24 @@
 import java.util.Random;
 import java.util.concurrent.atomic.AtomicBoolean;
 
-/** One client, one request at a time: mostly well-behaved, sometimes slow, gone early, or large. */
+/**
+ * A client that sends one request at a time and notes what it gets. Mostly well-behaved; some of its requests are slow to send,
+ * abandoned or large.
+ */
 final class ClientDriver {
     private static final int CONNECT_MS = 1000;
-    private static final int PATIENCE_MS = 5000; // beyond the deadline
-    private static final int SETTLE_MS = 50; // until a reset that follows a close is here
-    private static final int LARGE = 200 * 1024;
-    private static final int MOST_PAUSE_MS = 2500; // between two requests on one connection, seldom
-    private static final int MOST_THINK_MS = 120; // the same, mostly
-    private static final int UNEVEN_THINK_MS = 1000; // so that each conductor has few requests
-    private static final int HEAVY_EACH = 12; // requests; one of them is heavy where costs are uneven
+    private static final int PATIENCE_MS = 5000; // how long a client waits beyond its deadline
+    private static final int SETTLE_MS = 50; // time for a reset to arrive behind a close
+    private static final int LARGE = 200 * 1024; // bytes of a large body
+    // 1 in 20 pauses between two requests on a connection is of up to this length
+    private static final int MOST_PAUSE_MS = 2500;
+    private static final int MOST_THINK_MS = 120; // the other pauses
+    // pauses where costs are uneven: longer, so that each conductor has few requests
+    private static final int UNEVEN_THINK_MS = 1000;
+    private static final int HEAVY_EACH = 12; // 1 in 12 requests is heavy where costs are uneven
     private static final int LEAST_DEADLINE_MS = 600;
 
+    /** What to do after a request. */
     private enum Next {
         SAME_CONNECTION,
         NEW_CONNECTION,
@@ -61,14 +67,14 @@
             try (HttpConnection connection = HttpConnection.to(to.address, CONNECT_MS)) {
                 again = converse(connection, to, again);
             } catch (IOException e) {
-                Thread.sleep(SETTLE_MS); // nobody is there now
+                Thread.sleep(SETTLE_MS); // the conductor isn't running
             }
         }
     }
 
     /**
-     * Uses one connection for some requests, and where its conductor stops until that ends it; the id of one that has to be sent
-     * again, or null.
+     * Sends a drawn number of requests over one connection; while the conductor stops it goes on until the conductor closes the
+     * connection. Returns the id of a request that has to be sent again, or null.
      */
     private String converse(HttpConnection connection, ConductorProcess to, String again)
             throws IOException, InterruptedException {
@@ -94,7 +100,7 @@
         return null;
     }
 
-    /** A request by the protocol's page, as it goes over the wire. */
+    /** The bytes of an HTTP request in the form that the protocol's page describes. */
     static String text(String id, RequestKind kind, int tokens, String session, long deadlineMs, String body) {
         return "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nX-Request-ID: " + id + "\r\nX-Priority-Class: "
                 + kind.requestClass + "\r\nX-Route-Key: " + session + "\r\nX-Timeout: " + deadlineMs
@@ -111,7 +117,7 @@
                 : random.nextBoolean() ? RequestKind.SAFE : RequestKind.KEYED;
     }
 
-    /** Where shares of classes are compared, all have the same time. */
+    /** The deadline is the same for all requests where the oracle compares the served shares of classes. */
     private long drawDeadlineMs() {
         int longest = (int) settings.longestDeadlineMs();
         return settings.uneven() ? longest : LEAST_DEADLINE_MS + random.nextInt(longest - LEAST_DEADLINE_MS);
@@ -128,11 +134,12 @@
             if (cut > 0) {
                 connection.send(text.substring(0, cut));
                 if (random.nextInt(4) == 0) {
-                    return Next.NEW_CONNECTION; // gone within the request
+                    return Next.NEW_CONNECTION; // the client leaves within the request
                 }
                 Thread.sleep(random.nextInt(400));
             }
-            int last = body.length() < LARGE ? cut : text.length() - 1; // a large one waits here while nobody reads
+            // a large body blocks here while the conductor does not read; the request counts as sent with its last byte
+            int last = body.length() < LARGE ? cut : text.length() - 1;
             connection.send(text.substring(cut, last));
             long at = System.nanoTime();
             connection.send(text.substring(last));
@@ -148,7 +155,7 @@
             history.add(new Observation.NeverAnswered(System.nanoTime(), id));
             return Next.NEW_CONNECTION;
         } catch (IOException e) {
-            return sent ? Next.SEND_AGAIN : Next.NEW_CONNECTION; // a reset: it was not read
+            return sent ? Next.SEND_AGAIN : Next.NEW_CONNECTION; // a reset shows that the request was not read
         }
     }
 
@@ -173,7 +180,10 @@
         return closes ? Next.NEW_CONNECTION : Next.SAME_CONNECTION;
     }
 
-    /** An end without an answer: where the request was not read a reset follows it, and one more write fails. */
+    /**
+     * Handles a connection that was closed without an answer. If the conductor left the request unread, a reset follows the close and
+     * a further write fails; the request may be sent again then.
+     */
     private Next closed(HttpConnection connection, String id) throws InterruptedException {
         Thread.sleep(SETTLE_MS);
         try {
--- a/src/soak/java/copperbeam/soak/ConductorLife.java
+++ b/src/soak/java/copperbeam/soak/ConductorLife.java
@@ -4,30 +4,30 @@
 import java.util.List;
 import java.util.concurrent.atomic.AtomicBoolean;
 
-/** Starts, stops, kills and upgrades one conductor during a run, as the platform does, and notes what its processes did. */
+/** Starts, stops, kills and upgrades one conductor during a run, as the platform does, and notes how its processes ended. */
 final class ConductorLife {
-    private static final long READY_MS = 10_000;
-    private static final long LAST_NEW_MS = 300; // after SIGTERM; so long new connections keep coming
-    private static final int SIGNAL_PAUSE_MS = 200; // within a stop
+    private static final long READY_MS = 10_000; // the longest time from a start to readiness that breaks no rule
+    private static final long LAST_NEW_MS = 300; // clients open new connections for this long after SIGTERM
+    private static final int SIGNAL_PAUSE_MS = 200; // between further signals to a process that is stopping
 
     private final ConductorProcess conductor;
     private final SoakSite site;
     private final long killMs;
-    private final AtomicBoolean changing = new AtomicBoolean(); // it is stopped or started now
+    private final AtomicBoolean changing = new AtomicBoolean(); // a stop or a start is in progress
 
-    /** {@code killMs}: from SIGTERM to SIGKILL. */
+    /** {@code killMs}: time from SIGTERM to SIGKILL. */
     ConductorLife(ConductorProcess conductor, SoakSite site, long killMs) {
         this.conductor = conductor;
         this.site = site;
         this.killMs = killMs;
     }
 
-    /** Whether it is stopped or started now. */
+    /** Whether a stop or a start is in progress. */
     boolean changing() {
         return changing.get();
     }
 
-    /** Carries the trouble out, unless another one stops or starts this conductor already. */
+    /** Carries out a trouble that restarts the conductor; does nothing while an earlier one is in progress. */
     void renew(TroublePlan.Trouble trouble) throws IOException, InterruptedException {
         if (!changing.compareAndSet(false, true)) {
             return;
@@ -82,7 +82,7 @@
         }
     }
 
-    /** Ends the process that runs now. */
+    /** Stops the current process: SIGTERM, and SIGKILL if it hasn't exited in time. */
     void stop() throws IOException, InterruptedException {
         stop(conductor.process());
     }
@@ -105,7 +105,7 @@
         site.history.add(new Observation.Exited(System.nanoTime(), conductor.name, code, lived, since));
     }
 
-    /** Further signals within a stop change nothing of it. */
+    /** Sends further signals to a process that is stopping, which it has to ignore. */
     private static void signalAgain(Process which) throws IOException, InterruptedException {
         for (String signal : List.of("HUP", "TERM", "HUP", "TERM")) {
             Thread.sleep(SIGNAL_PAUSE_MS);
--- a/src/soak/java/copperbeam/soak/ConductorProcess.java
+++ b/src/soak/java/copperbeam/soak/ConductorProcess.java
@@ -19,7 +19,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Function;
 
-/** One conductor: its address, its folder and the process that runs now; started, stopped, killed and upgraded. */
+/** One conductor under test: its address, its folder and its current process, over restarts and upgrades. */
 final class ConductorProcess implements AutoCloseable {
     private static final List<String> OPTIONS = List.of(
             "-XX:+UseSerialGC",
@@ -37,9 +37,9 @@
     final String name;
     final InetSocketAddress address;
     final FaultShim shim;
-    private final boolean operated; // has a door for operators, and so can be upgraded
+    private final boolean operated; // listens for operators' commands, without which a process can't be upgraded
     private final Path folder;
-    private final Function<String, String> file; // its text, by discovery's address
+    private final Function<String, String> file; // the configuration file's text for an address of discovery
     private volatile String discovery;
     private volatile InetSocketAddress door;
     private volatile Process process;
@@ -56,14 +56,17 @@
                 + "\",\"limits\":{\"memory_mb\":192,\"sockets\":512},\"settings\":" + settings + "}";
     }
 
-    /** Below the ports that the system gives to connections and to stand-ins: one of these would else get it meanwhile. */
+    /**
+     * A free port below the range from which the system assigns ports to connections and stand-ins, so that none of them takes it
+     * while the conductor isn't listening.
+     */
     private static InetSocketAddress freeAddress() throws IOException {
         while (true) {
             int port = ThreadLocalRandom.current().nextInt(FIRST_PORT, LAST_PORT);
             try (ServerSocket socket = new ServerSocket(port, 1, InetAddress.getLoopbackAddress())) {
                 return (InetSocketAddress) socket.getLocalSocketAddress();
             } catch (BindException e) {
-                continue; // it is taken
+                continue; // the port is taken
             }
         }
     }
@@ -72,7 +75,7 @@
         return "127.0.0.1:" + at.getPort();
     }
 
-    /** Whether clients should come here. */
+    /** Whether clients should open connections to this conductor. */
     boolean takesClients() {
         return takesClients;
     }
@@ -96,7 +99,7 @@
         Files.move(next, folder.resolve("config.json"), StandardCopyOption.REPLACE_EXISTING);
     }
 
-    /** Starts a process, beside the one that runs if there is one. */
+    /** Starts a process; a previous process, if any, keeps running beside it, as in an upgrade. */
     Process start() throws IOException {
         starts++;
         List<String> command = new ArrayList<>();
@@ -123,7 +126,7 @@
         return process;
     }
 
-    /** How long the running process took to be ready, or -1 where it was not within the time. */
+    /** Waits until the conductor is ready; returns the time that took in milliseconds, or -1 if it exceeded {@code withinMs}. */
     long awaitReady(long withinMs) throws InterruptedException {
         long began = System.nanoTime();
         for (long passed = 0; passed < withinMs; passed = (System.nanoTime() - began) / 1_000_000) {
@@ -151,14 +154,14 @@
         return folder.resolve("log-" + starts);
     }
 
-    /** A connection to the operators' door. */
+    /** Opens a connection to the address for operators' commands. */
     Socket caller() throws IOException {
         Socket socket = new Socket();
         socket.connect(door, CONNECT_MS);
         return socket;
     }
 
-    /** Whether the operators' door answers a line so. */
+    /** Sends an operators' command; returns whether the first line of the answer starts with {@code answer}. */
     boolean says(String line, String answer) {
         try (Socket socket = caller()) {
             socket.setSoTimeout(CONNECT_MS);
@@ -178,7 +181,7 @@
                 .waitFor();
     }
 
-    /** Whether it ended in time. */
+    /** Waits for the process to exit; returns whether it did so within {@code withinMs}. */
     static boolean awaitEnd(Process which, long withinMs) throws InterruptedException {
         return which.waitFor(withinMs, TimeUnit.MILLISECONDS);
     }
--- a/src/soak/java/copperbeam/soak/Daemon.java
+++ b/src/soak/java/copperbeam/soak/Daemon.java
@@ -1,8 +1,8 @@
 package copperbeam.soak;
 
-/** Threads that end with the process. */
+/** Starts daemon threads, which don't keep the JVM alive. */
 final class Daemon {
-    /** What a thread does; what it throws ends it. */
+    /** The body of a thread; an exception ends the thread. */
     interface Task {
         void run() throws Exception;
     }
@@ -15,7 +15,7 @@
                     try {
                         task.run();
                     } catch (java.io.IOException | InterruptedException e) {
-                        return; // the other side or the run has ended it
+                        return; // the peer closed the connection or the run is over
                     } catch (Exception e) {
                         throw new IllegalStateException(name, e);
                     }
--- a/src/soak/java/copperbeam/soak/DiscoveryAgent.java
+++ b/src/soak/java/copperbeam/soak/DiscoveryAgent.java
@@ -9,13 +9,16 @@
 import java.util.function.Function;
 import java.util.stream.Collectors;
 
-/** Discovery as one conductor sees it, at an address of its own. */
+/** Stand-in of the discovery service for one conductor, listening at an address of its own. */
 final class DiscoveryAgent implements AutoCloseable {
-    /** What becomes of calls. */
+    /** How calls are answered. */
     enum Mode {
         UP,
+        /** No call is answered until the mode changes. */
         SILENT,
+        /** Each call is answered with status 500. */
         FAILS,
+        /** Each answer carries only the first half of its JSON. */
         GARBLES
     }
 
@@ -28,7 +31,7 @@
     private final ServerSocket listener;
     volatile Mode mode = Mode.UP;
 
-    /** {@code addresses}: of a server, for this conductor. */
+    /** {@code addresses}: gives the address of a server, by its id, for this conductor. */
     DiscoveryAgent(String conductor, Fleet fleet, Function<String, String> addresses, History history)
             throws IOException {
         this.conductor = conductor;
--- a/src/soak/java/copperbeam/soak/Fault.java
+++ b/src/soak/java/copperbeam/soak/Fault.java
@@ -1,6 +1,6 @@
 package copperbeam.soak;
 
-/** A system call that {@link FaultShim} can make fail; in the order of the shim's own list. */
+/** A system call that {@link FaultShim} can make fail. The order is that of {@code enum fault} in fault_shim.c. */
 enum Fault {
     ACCEPT,
     CONNECT,
--- a/src/soak/java/copperbeam/soak/FaultProxy.java
+++ b/src/soak/java/copperbeam/soak/FaultProxy.java
@@ -15,25 +15,32 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.UnaryOperator;
 
-/** The network between one conductor and one server. It knows bytes alone, and can be cut, slow or late. */
+/**
+ * A TCP proxy between one conductor and one server that simulates faults of the network between them. It knows nothing of the
+ * protocol above TCP.
+ */
 final class FaultProxy implements AutoCloseable {
-    /** What the network does. */
+    /** The simulated state of the network. */
     enum Mode {
         PASS,
-        /** Nothing passes, no connection comes up and nobody is told; what was sent arrives later, unless it was reset. */
+        /**
+         * A partition: no bytes pass, no connection is established, and neither end gets an error. Bytes sent meanwhile arrive
+         * afterwards, unless the connection was reset.
+         */
         SILENT,
-        /** No connection comes up; those that are there carry on. */
+        /** No new connection is established; existing ones work. */
         LATE,
-        /** Bytes come in small pieces. */
+        /** Bytes are forwarded in pieces of a few bytes. */
         TRICKLE
     }
 
     private static final AtomicInteger HOSTS = new AtomicInteger();
     private static final int HOSTS_A_NET = 250;
-    // more than come at once: one that overflows drops handshakes that clients take for done, and their bytes come late
+    // larger than any burst of connects: if the queue overflows, the kernel drops handshakes that clients consider complete,
+    // which delays their bytes
     static final int BACKLOG = 32;
     private static final int LOOK_MS = 5;
-    private static final int PIECE = 7;
+    private static final int PIECE = 7; // bytes
 
     private final String conductor;
     private final InetSocketAddress server;
@@ -41,7 +48,7 @@
     private final ServerSocket listener;
     private final Queue<ProxiedConnection> connections = new ConcurrentLinkedQueue<>();
     private volatile Mode mode = Mode.PASS;
-    /** A planted fault: what the conductor sends is changed on its way. */
+    /** A deliberate defect, applied to what the conductor sends; or null. */
     volatile UnaryOperator<String> plant;
 
     FaultProxy(String conductor, InetSocketAddress server) throws IOException {
@@ -52,7 +59,10 @@
         Daemon.start("proxy", this::accept);
     }
 
-    /** A loopback address of its own: by the thousand the closed connections of all use the ports of one up for a minute. */
+    /**
+     * A loopback address that no other proxy uses: closed connections keep their ports for a minute (TIME_WAIT), and thousands
+     * of them would use up the ports of a single address.
+     */
     private static InetAddress nextHost() throws UnknownHostException {
         int number = HOSTS.getAndIncrement();
         return InetAddress.getByAddress(
@@ -71,7 +81,7 @@
         return host.getHostAddress() + ":" + listener.getLocalPort();
     }
 
-    /** What the network does from now on. */
+    /** Sets the state of the network from now on. */
     void mode(Mode next) throws IOException {
         mode = next;
         if (holdsConnectionsUp()) {
@@ -83,19 +93,25 @@
         return mode == Mode.SILENT || mode == Mode.LATE;
     }
 
-    /** Ends the accept of a network that was whole: looking at the mode each few milliseconds took a core for 80 of them. */
+    /**
+     * Makes a blocked accept return, by connecting to the proxy's own listener. Polling the mode every few milliseconds instead took
+     * a whole core for 80 proxies.
+     */
     private void wakeUp() throws IOException {
         try (Socket socket = new Socket()) {
             socket.connect(listener.getLocalSocketAddress(), LOOK_MS);
         } catch (SocketTimeoutException e) {
-            Thread.yield(); // its queue is full, so that nobody waits there
+            Thread.yield(); // the accept queue is full, so no accept is blocked
         }
     }
 
-    /** While no connection comes up, those that fill the system's queue have it drop all others. */
+    /**
+     * Accepts connections. While no connection may be established, the proxy fills the system's accept queue with connections to
+     * itself, so that the kernel drops the handshakes of all others.
+     */
     private void accept() throws IOException, InterruptedException {
         List<Socket> fillers = new ArrayList<>();
-        boolean held = false; // connections up, until now
+        boolean held = false; // new connections were blocked until now
         boolean full = false;
         while (true) {
             if (holdsConnectionsUp()) {
@@ -108,14 +124,14 @@
                 held = false;
                 full = false;
                 dropQueued(fillers);
-                continue; // it may be cut again by now
+                continue; // the mode may have changed again
             }
             Socket near = listener.accept();
             Daemon.start("connection", () -> carry(near));
         }
     }
 
-    /** What the system's queue took meanwhile had no way to the server: it is reset, whatever was written to it. */
+    /** Resets the connections that entered the accept queue meanwhile, as their bytes could not reach the server. */
     private void dropQueued(List<Socket> fillers) throws IOException {
         for (Socket filler : fillers) {
             filler.close();
@@ -129,11 +145,11 @@
                 queued.close();
             }
         } catch (SocketTimeoutException e) {
-            listener.setSoTimeout(0); // it is empty
+            listener.setSoTimeout(0); // the queue is empty; accept blocks again
         }
     }
 
-    /** Whether the queue is full. */
+    /** Opens connections until the accept queue takes no more; returns whether it is full. */
     private boolean fill(List<Socket> fillers) throws IOException {
         while (fillers.size() <= BACKLOG) {
             Socket filler = new Socket();
@@ -158,19 +174,19 @@
         connections.remove(connection);
     }
 
-    /** Whether nothing passes now. */
+    /** Whether the network is partitioned now. */
     boolean silent() {
         return mode == Mode.SILENT;
     }
 
-    /** What the conductor sent, with the planted fault. */
+    /** Bytes that the conductor sent, altered by the deliberate defect if there is one. */
     byte[] changed(byte[] bytes) {
         UnaryOperator<String> change = plant;
         String text = new String(bytes, StandardCharsets.ISO_8859_1);
         return (change == null ? text : change.apply(text)).getBytes(StandardCharsets.ISO_8859_1);
     }
 
-    /** Writes as the network does now. */
+    /** Writes the bytes, in small pieces where the mode says so. */
     void write(Socket to, byte[] bytes) throws IOException {
         if (mode != Mode.TRICKLE) {
             to.getOutputStream().write(bytes);
@@ -181,12 +197,12 @@
         }
     }
 
-    /** Resets all connections that are there. */
+    /** Resets all existing connections. */
     void resetAll() {
         connections.forEach(ProxiedConnection::resetByNetwork);
     }
 
-    /** All connections that are there carry nothing any more, and nobody is told. */
+    /** All existing connections carry nothing from now on, and neither end gets an error. */
     void silenceAll() {
         connections.forEach(ProxiedConnection::fallSilent);
     }
--- a/src/soak/java/copperbeam/soak/FaultShim.java
+++ b/src/soak/java/copperbeam/soak/FaultShim.java
@@ -12,8 +12,9 @@
 import java.util.Map;
 
 /**
- * The clock and the system calls of one process under test, steered from here while it runs: a library of our own that
- * is preloaded into it ({@code src/soak/c/fault_shim.c}) reads a file that both map.
+ * Controls the wall clock and the system calls of one process under test while it runs. The process preloads a shared library
+ * ({@code src/soak/c/fault_shim.c}), which takes its instructions from a control file that both processes map. The slots below have the
+ * same layout as in that library.
  */
 public final class FaultShim {
     private static final Path SOURCE = Path.of("src", "soak", "c", "fault_shim.c");
@@ -21,7 +22,8 @@
     private static final int CLOCK_OFFSET_NS = 0;
     private static final int SHORT_IO_BYTES = 1;
     private static final int SIGNAL_AT_LISTEN = 2;
-    private static final int FAULTS = 8;
+    private static final int FAULTS = 8; // the first slot of the faults
+    // slots per fault: error number, failures left, failures so far, calls to let pass first
     private static final int FAULT_PLACES = 4;
     private static final int SIZE = PLACE * (FAULTS + FAULT_PLACES * Fault.values().length);
     private static Path library;
@@ -29,7 +31,7 @@
     private final Path control;
     private final MappedByteBuffer places;
 
-    /** {@code folder}: where its control file is kept. */
+    /** Creates the control file in {@code folder}. */
     public FaultShim(Path folder) throws IOException {
         control = Files.createTempFile(folder, "shim", ".control");
         Files.write(control, new byte[SIZE]);
@@ -39,13 +41,13 @@
         places.order(ByteOrder.nativeOrder());
     }
 
-    /** Puts the library and this control file into a process's environment. */
+    /** Sets the environment variables by which a new process loads the library and finds this control file. */
     public void preload(Map<String, String> environment) throws IOException {
         environment.put("LD_PRELOAD", library().toString());
         environment.put("FAULT_SHIM_CONTROL", control.toString());
     }
 
-    /** Built once for this process by the system's C compiler. */
+    /** The shared library, compiled by the system's C compiler at its first use. */
     private static synchronized Path library() throws IOException {
         if (library == null) {
             Path built = Files.createTempDirectory("shim").resolve("fault_shim.so");
@@ -79,45 +81,45 @@
         places.putLong(PLACE * place, value);
     }
 
-    /** From now on the wall clock is ahead by this; the monotonic one is not touched. */
+    /** Sets the process's wall clock ahead of the system's by this from now on; its monotonic clock is unaffected. */
     public void clockOffset(Duration ahead) {
         put(CLOCK_OFFSET_NS, ahead.toNanos());
     }
 
-    /** From now on at most so many bytes in each read or write of a socket; 0: as many as there are. */
+    /** Limits each read from and write to a socket to so many bytes from now on; 0: no limit. */
     public void shortIo(int bytes) {
         put(SHORT_IO_BYTES, bytes);
     }
 
-    /** The process sends itself this signal once it first listens. */
+    /** Makes the process send itself this signal at its next {@code listen} call. */
     public void signalAtListen(int number) {
         put(SIGNAL_AT_LISTEN, number);
     }
 
-    /** The next {@code times} calls fail with this error number; 0: none any more. */
+    /** Makes the next {@code times} calls fail with this error number; 0: none. */
     public void fail(Fault fault, int errorNumber, long times) {
         int place = FAULTS + FAULT_PLACES * fault.ordinal();
         put(place, errorNumber);
         put(place + 1, times);
     }
 
-    /** Of the calls after the next {@code survived} all fail with this error number. */
+    /** Lets the next {@code spared} calls pass and makes all later ones fail with this error number. */
     public void failAfter(Fault fault, int errorNumber, long survived) {
         failAfter(fault, errorNumber, survived, Long.MAX_VALUE);
     }
 
-    /** Of the calls after the next {@code survived} so many fail with this error number. */
+    /** Lets the next {@code spared} calls pass and makes the {@code times} calls after them fail with this error number. */
     public void failAfter(Fault fault, int errorNumber, long survived, long times) {
         fail(fault, errorNumber, times);
         put(FAULTS + FAULT_PLACES * fault.ordinal() + 3, survived);
     }
 
-    /** How many calls have failed so. */
+    /** The number of calls that the library has made fail so far. */
     public long failed(Fault fault) {
         return places.getLong(PLACE * (FAULTS + FAULT_PLACES * fault.ordinal() + 2));
     }
 
-    /** Forgets the control file; the process that has mapped it keeps its own view. */
+    /** Deletes the control file; a process that has mapped it keeps its mapping. */
     public void delete() {
         try {
             Files.deleteIfExists(control);
--- a/src/soak/java/copperbeam/soak/Fleet.java
+++ b/src/soak/java/copperbeam/soak/Fleet.java
@@ -4,9 +4,9 @@
 import java.util.Map;
 import java.util.stream.Collectors;
 
-/** The list of servers as discovery has it, with a version for each change; from any thread. */
+/** The server list that discovery announces; each change increments its version. Thread-safe. */
 final class Fleet {
-    /** One server's entry but for its address, which each conductor has its own of. */
+    /** One server's entry, without its address, which differs between conductors as each reaches it through its own proxy. */
     record Entry(String id, Role role, String state, long startedMs, long version) {}
 
     private final Map<String, Entry> entries = new LinkedHashMap<>();
@@ -26,7 +26,7 @@
         return version;
     }
 
-    /** What is newer than {@code from}, after waiting for it for so long at most. */
+    /** The entries changed after version {@code after}, by id; waits up to {@code waitMs} for the first such change. */
     synchronized Map<String, Entry> since(long from, long waitMs) throws InterruptedException {
         long until = System.nanoTime() + waitMs * 1_000_000;
         for (long left = waitMs; version <= from && left > 0; left = (until - System.nanoTime()) / 1_000_000) {
--- a/src/soak/java/copperbeam/soak/History.java
+++ b/src/soak/java/copperbeam/soak/History.java
@@ -5,7 +5,7 @@
 import java.util.Queue;
 import java.util.concurrent.ConcurrentLinkedQueue;
 
-/** All that was seen in one run; from any thread. */
+/** All observations of one run. Thread-safe. */
 final class History {
     private final Queue<Observation> observations = new ConcurrentLinkedQueue<>();
 
@@ -13,7 +13,7 @@
         observations.add(seen);
     }
 
-    /** In the order of time. */
+    /** The observations in the order of their times. */
     List<Observation> inOrder() {
         return observations.stream()
                 .sorted(Comparator.comparingLong(Observation::at))
--- a/src/soak/java/copperbeam/soak/HttpConnection.java
+++ b/src/soak/java/copperbeam/soak/HttpConnection.java
@@ -10,10 +10,11 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** One HTTP/1.1 connection, blocking. */
+/** One end of an HTTP/1.1 connection, with blocking calls. */
 final class HttpConnection implements AutoCloseable {
-    /** A message; {@code whole}: to its length or its last chunk. */
+    /** A request or response; {@code complete}: received up to its Content-Length or its last chunk. */
     record Message(String start, Map<String, String> headers, String body, boolean whole) {
+        /** A word of the first line, counted from 0. */
         String word(int number) {
             return start.split(" ")[number];
         }
@@ -54,7 +55,7 @@
         send(Integer.toHexString(data.length()) + "\r\n" + data + "\r\n");
     }
 
-    /** Waits for the first byte of a message; false at the end of the connection. */
+    /** Waits for the first byte of a message; returns false at the end of the connection. */
     boolean awaitByte() throws IOException {
         in.mark(1);
         int next = in.read();
@@ -73,7 +74,7 @@
         return line.toString(StandardCharsets.ISO_8859_1).strip();
     }
 
-    /** Null at the end of the connection. */
+    /** Reads a message; returns null if the connection ends before its headers are complete. */
     Message read() throws IOException {
         String start = line();
         if (start == null || start.isEmpty()) {
@@ -82,7 +83,7 @@
         Map<String, String> headers = new TreeMap<>(String.CASE_INSENSITIVE_ORDER);
         for (String line = line(); line == null || !line.isEmpty(); line = line()) {
             if (line == null) {
-                return null; // within a head, which is none
+                return null; // the connection ended within the headers
             }
             int colon = line.indexOf(':');
             headers.put(line.substring(0, colon), line.substring(colon + 1).strip());
@@ -100,7 +101,7 @@
         return bytes.length == length;
     }
 
-    /** A reset within a stream is as its end: what came before it counts. */
+    /** Reads a chunked body; returns whether it is complete. A reset counts as the end of the stream; the bytes before it are kept. */
     private boolean readChunks(ByteArrayOutputStream body) throws IOException {
         try {
             for (String size = line(); size != null; size = line()) {
--- a/src/soak/java/copperbeam/soak/IdleClients.java
+++ b/src/soak/java/copperbeam/soak/IdleClients.java
@@ -5,11 +5,11 @@
 import java.util.Deque;
 import java.util.function.BooleanSupplier;
 
-/** Clients that connect to a conductor, say nothing and come again as they are let go, so that they fill its descriptors. */
+/** Clients that connect to a conductor without sending anything, and reconnect when it closes them: they use up its descriptors. */
 final class IdleClients {
     private static final int LOOK_MS = 50;
     private static final int AGAIN_MS =
-            20; // from one to the next once all are there; by the thousand they use the machine's ports up
+            20; // once all are open; thousands of closed connections would use up the machine's ports
 
     private final ConductorProcess conductor;
     private final int most;
@@ -20,7 +20,7 @@
         this.most = most;
     }
 
-    /** They come whenever clients do, until then. */
+    /** Connects whenever the conductor takes clients, until {@code stop} returns true; then resets all connections. */
     void keepComing(BooleanSupplier over) throws InterruptedException {
         while (!over.getAsBoolean()) {
             boolean came = conductor.takesClients() && comeOnce();
@@ -29,12 +29,12 @@
         leave();
     }
 
-    /** False where no connection is taken now. */
+    /** Opens a connection and drops the oldest one beyond the limit; returns false if the conductor accepts none. */
     private boolean comeOnce() {
         try {
             connections.add(HttpConnection.to(conductor.address, LOOK_MS));
             if (connections.size() > most) {
-                connections.poll().reset(); // a close would keep its port for a minute
+                connections.poll().reset(); // a close would leave its port in TIME_WAIT for a minute
             }
             return true;
         } catch (IOException e) {
@@ -47,7 +47,7 @@
             try {
                 connection.reset();
             } catch (IOException e) {
-                continue; // it was closed
+                continue; // it was closed already
             }
         }
         connections.clear();
--- a/src/soak/java/copperbeam/soak/Lateness.java
+++ b/src/soak/java/copperbeam/soak/Lateness.java
@@ -7,14 +7,14 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * How late threads get the processor on this machine, as it has other work or its host has: what the stand-ins note, and what the
- * conductors do, is late by as much. Measured by the round trips of a byte between pairs of threads that do nothing else, on
- * connections that are there and, as a proxy takes them, on new ones, each with a new thread; a thread that merely sleeps is woken
- * wherever a processor is free and sees little of it.
+ * Measures the scheduling delay of threads on this machine, caused by other work on it or on its host. The stand-ins' observations and
+ * the conductors' actions may be late by as much. Measures round trips of one byte between pairs of threads that do nothing else, over
+ * existing connections and, as the proxies do, over new ones with a new thread each. A thread that merely sleeps would see little of
+ * the delay, as it is woken on whichever processor is free.
  */
 final class Lateness implements AutoCloseable {
     private static final int PAIRS = 4;
-    private static final int CALLERS = 2; // on new connections
+    private static final int CALLERS = 2; // threads that measure on new connections
     private static final long INTERVAL_MS = 5;
     private static final long NANOS_PER_MS = 1_000_000;
 
@@ -23,7 +23,7 @@
 
     private Lateness() {}
 
-    /** Measures until it is closed. */
+    /** Starts to measure; {@link #close} ends it. */
     static Lateness start() throws IOException {
         Lateness lateness = new Lateness();
         for (int i = 0; i < PAIRS; i++) {
@@ -50,7 +50,7 @@
                 long began = System.nanoTime();
                 Thread.sleep(INTERVAL_MS);
                 try (Socket socket = new Socket(listener.getInetAddress(), listener.getLocalPort())) {
-                    socket.setSoLinger(true, 0); // closed ones would use the machine's ports up
+                    socket.setSoLinger(true, 0); // close by a reset: connections in TIME_WAIT would use up the machine's ports
                     roundTrip(socket, began);
                 }
             }
@@ -95,7 +95,7 @@
         worstNanos.accumulateAndGet(late, Math::max);
     }
 
-    /** So far, in whole milliseconds. */
+    /** The longest delay so far, in whole milliseconds. */
     long worstMs() {
         return worstNanos.get() / NANOS_PER_MS;
     }
--- a/src/soak/java/copperbeam/soak/Observation.java
+++ b/src/soak/java/copperbeam/soak/Observation.java
@@ -1,22 +1,22 @@
 package copperbeam.soak;
 
-/** What one party saw, with its time by {@link System#nanoTime}. */
+/** An event that one party of the run observed; {@code at} is its time by {@link System#nanoTime}. */
 sealed interface Observation {
     long at();
 
-    /** A trouble began or ended. */
+    /** A trouble (an injected fault) began or ended. */
     record Troubled(long at, TroublePlan.Trouble trouble, boolean begins) implements Observation {}
 
     /** A client has sent the last byte of a request. */
     record Sent(long at, String id, RequestKind kind, String conductor, long deadlineMs) implements Observation {}
 
-    /** A client has read the last byte of an answer. {@code whole}: to its last chunk, or its length. */
+    /** A client has read an answer to its end. {@code complete}: up to its last chunk or its Content-Length. */
     record Answered(long at, String id, int status, boolean whole, String body) implements Observation {}
 
-    /** The conductor closed the connection without an answer; {@code read}: nothing says that the request stayed unread. */
+    /** The conductor closed the connection without an answer; {@code wasRead}: no reset shows that the request was left unread. */
     record ClosedUnanswered(long at, String id, boolean read) implements Observation {}
 
-    /** Nothing came for far longer than the deadline. */
+    /** The client gave up: no answer came, long after the deadline. */
     record NeverAnswered(long at, String id) implements Observation {}
 
     /** The client closed its connection before its answer. */
@@ -26,8 +26,9 @@
     record AttemptOpened(long at, String id, String server, String conductor) implements Observation {}
 
     /**
-     * The last byte of a request reached a server, having left at {@code sentAt}; {@code attempt} is a number of its own. The network
-     * has read what the conductor sends on this connection since {@code carriedSince}.
+     * The last byte of a request reached a server. {@code attempt}: a number that is unique in the run; {@code announcedMs}: the
+     * remaining time by the request's header; {@code sentAt}: when the proxy had read the request's last bytes from the conductor;
+     * {@code readSince}: from when on the proxy has read what the conductor sends on this connection.
      */
     record AttemptArrived(
             long at,
@@ -41,37 +42,37 @@
             long carriedSince)
             implements Observation {}
 
-    /** The server wrote its last byte, or the conductor's end of the connection was closed. */
+    /** The attempt is over: the server has finished it, the conductor closed the connection, or the network reset it. */
     record AttemptEnded(long at, String id, long attempt, AttemptEnd end) implements Observation {}
 
-    /** What a writer's attempt streamed, as far as it got. */
+    /** What a writer streamed in an attempt, up to its end or to where it broke off. */
     record Streamed(long at, String id, long attempt, boolean whole, String body) implements Observation {}
 
-    /** A reader holds the state of a request from now on. */
+    /** A reader holds the read state of a request from now on. */
     record StateHeld(long at, String id, String server) implements Observation {}
 
-    /** It is held no more: a writer has taken it or a release was heard. */
+    /** The read state is no longer held: a writer took it, a release arrived or the reader restarted. */
     record StateFreed(long at, String id) implements Observation {}
 
-    /** Discovery wrote to a conductor that a server drains. */
+    /** Discovery announced to a conductor that a server drains or has left. */
     record DrainTold(long at, String conductor, String server) implements Observation {}
 
-    /** A server serves again, or anew, under the same id. */
+    /** A server that was draining serves again, or has restarted, under the same id. */
     record DrainEnded(long at, String server) implements Observation {}
 
-    /** A server has started anew, and is cold; discovery tells it from now on. */
+    /** A server has restarted and is cold; from now on discovery announces its new start time. */
     record ServerStarted(long at, String server, Role role) implements Observation {}
 
-    /** No server can be reached by a conductor from then on, or some can again. */
+    /** A conductor can reach no listed server from now on ({@code begins}), or can reach one again. */
     record CutOffFromAll(long at, String conductor, boolean begins) implements Observation {}
 
-    /** A conductor was killed: what it had is excused. */
+    /** A conductor was killed; the oracle doesn't report the requests that are lost by that. */
     record Killed(long at, String conductor) implements Observation {}
 
-    /** A conductor process ended by itself; {@code asked}: after SIGTERM. */
+    /** A conductor process exited without being killed; {@code requested}: after SIGTERM. */
     record Exited(long at, String conductor, int code, boolean asked, long sinceTermMs) implements Observation {}
 
-    /** A conductor process did not end by the platform's kill after SIGTERM. */
+    /** A conductor process had not exited by the time the platform kills it after SIGTERM. */
     record Overstayed(long at, String conductor) implements Observation {}
 
     /** A conductor process was not ready in time after its start. */
--- a/src/soak/java/copperbeam/soak/Oracle.java
+++ b/src/soak/java/copperbeam/soak/Oracle.java
@@ -25,13 +25,13 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Holds the protocol's rules against what the stand-ins saw. Pure: a history in, the broken rules out. */
+/** Checks the protocol's rules against what the stand-ins observed. A pure function from a history to the broken rules. */
 final class Oracle {
     private static final long MS = 1_000_000;
 
     /**
-     * The settings' figures, and the slack for what the stand-ins see late. {@code slowStart}: null in runs whose troubles let nobody
-     * judge what cold servers are sent.
+     * The limits from the settings, and the tolerance for events that the stand-ins see late. {@code slowStart}: null in runs whose
+     * troubles make it impossible to judge how much cold servers are sent.
      */
     record Terms(
             int mostAttempts,
@@ -41,15 +41,17 @@
             long slackMs,
             SlowStart slowStart) {}
 
-    /** The settings' figures for servers that have started lately. */
+    /** The slow-start settings, for servers that have started recently. */
     record SlowStart(double coldFrom, double warmWithinS, double fallMultiple, double fallS) {}
 
-    private static final long ANSWER_GRACE_MS = 500;
-    private static final long CLIENT_GONE_MS = 100;
+    private static final long ANSWER_GRACE_MS = 500; // how late after the deadline a final answer may come
+    private static final long CLIENT_GONE_MS = 100; // an attempt may still begin this long after its client has gone
+    // an attempt may still begin this long after discovery has announced the drain of its server
     private static final long DRAIN_MS = 1050;
-    private static final long RELEASE_GRACE_MS = 350;
+    private static final long RELEASE_GRACE_MS = 350; // how much later than the settings' release time a release may come
+    // the time announced to a server may exceed the client's remaining time by this
     private static final long DEADLINE_GRACE_MS = 150;
-    private static final long KILL_NOTICE_MS = 300; // until a client's connection shows a kill
+    private static final long KILL_NOTICE_MS = 300; // how long a client may take to notice a kill
 
     private static final class Attempt {
         final AttemptArrived arrived;
@@ -83,9 +85,10 @@
     private final Terms terms;
     private final Map<String, Request> requests = new TreeMap<>();
     private final Map<Long, Attempt> attempts = new HashMap<>();
-    private final Map<String, Long> drains = new HashMap<>(); // by conductor and server
+    // when discovery announced each drain, by "conductor server"
+    private final Map<String, Long> drains = new HashMap<>();
     private final List<Killed> kills = new ArrayList<>();
-    private final List<CutOffFromAll> cuts = new ArrayList<>(); // beginnings and ends, in order
+    private final List<CutOffFromAll> cuts = new ArrayList<>(); // beginnings and ends, in order of time
     private final List<Violation> violations = new ArrayList<>();
     private long end;
 
@@ -93,7 +96,7 @@
         this.terms = terms;
     }
 
-    /** All rules that were broken, in the order of requests. */
+    /** The violations: first those found on the way through the history, then those of each request, then those of slow start. */
     static List<Violation> judge(List<Observation> inOrder, Terms terms) {
         Oracle oracle = new Oracle(terms);
         inOrder.forEach(oracle::take);
@@ -113,10 +116,10 @@
         if (seen instanceof Sent o) {
             Request r = request(o.id());
             if (!r.attempts.isEmpty() && !excused(r)) {
-                broken(Rule.LOST, o.id(), "read, and its connection reset");
+                broken(Rule.LOST, o.id(), "its connection was reset though it had been read");
             }
             r.sent = o;
-            r.closed = null; // sent once more, as it had not been read
+            r.closed = null; // the client has sent it again, as the conductor had not read it
         } else if (seen instanceof Answered o) {
             request(o.id()).answered = o;
         } else if (seen instanceof ClosedUnanswered o) {
@@ -159,7 +162,7 @@
                     o.conductor(),
                     "exit code " + o.code() + (o.asked() ? " after SIGTERM" : ", not asked to"));
         } else if (seen instanceof Overstayed o) {
-            broken(Rule.OVERSTAYED, o.conductor(), "still there at the kill after SIGTERM");
+            broken(Rule.OVERSTAYED, o.conductor(), "had not exited when it was killed after SIGTERM");
         } else if (seen instanceof NotReady o) {
             broken(Rule.NOT_READY, o.conductor(), "not ready after " + o.afterMs() + " ms");
         }
@@ -169,7 +172,7 @@
         request(o.id()).opened.add(o);
         Long told = drains.get(o.conductor() + " " + o.server());
         if (told != null && o.at() - told > (DRAIN_MS + terms.slackMs()) * MS) {
-            broken(Rule.SENT_TO_DRAINING, o.id(), o.server() + " " + ms(o.at() - told) + " after its drain was told");
+            broken(Rule.SENT_TO_DRAINING, o.id(), o.server() + " " + ms(o.at() - told) + " after its drain was announced");
         }
     }
 
@@ -184,19 +187,22 @@
     private void judge(String id, Request r) {
         if (r.sent == null) {
             if (!r.attempts.isEmpty()) {
-                broken(Rule.WRONG_ANSWER, id, "sent to a server, though no client had sent it whole");
+                broken(Rule.WRONG_ANSWER, id, "sent to a server, though no client had sent it completely");
             }
             return;
         }
         judgeAnswer(id, r);
         judgeAttempts(id, r);
-        if (!excused(r)) { // of a process that was killed the system goes on to deliver what it has
+        if (!excused(r)) { // after a kill the operating system still delivers what it has buffered
             judgeEnds(id, r);
             judgeHolds(id, r);
         }
     }
 
-    /** Its conductor was killed before it was answered, or just before it was sent. */
+    /**
+     * Whether its conductor was killed before the request was completely answered, or so shortly before it was sent that its client
+     * couldn't know.
+     */
     private boolean excused(Request r) {
         long answered = r.answered == null || !r.answered.whole() ? Long.MAX_VALUE : r.answered.at();
         return kills.stream()
@@ -250,7 +256,7 @@
             broken(Rule.LOST, id, "its stream was cut while its server wrote");
         }
         if (!made) {
-            broken(Rule.WRONG_ANSWER, id, (whole ? "whole" : "cut") + ", not what an instance made: " + got.length());
+            broken(Rule.WRONG_ANSWER, id, (whole ? "whole" : "cut") + ", not what a server produced: " + got.length());
         }
     }
 
@@ -271,7 +277,7 @@
             before = a;
             long left = r.sent.at() + r.sent.deadlineMs() * MS - a.arrived.sentAt();
             if (a.arrived.toldMs() > left / MS + DEADLINE_GRACE_MS + terms.slackMs()) {
-                broken(Rule.DEADLINE_TOLD, id, a.arrived.toldMs() + " ms told, " + ms(left) + " left");
+                broken(Rule.DEADLINE_TOLD, id, a.arrived.toldMs() + " ms announced, " + ms(left) + " left");
             }
         }
     }
@@ -284,7 +290,7 @@
         };
     }
 
-    /** An attempt begins with its last byte; one that was given up before that byte arrived has not. */
+    /** An attempt begins when its last byte arrives at the server; an attempt that was given up before that doesn't count. */
     private void judgeEnds(String id, Request r) {
         for (Attempt a : r.attempts) {
             if (r.answered != null && a.arrived.at() > r.answered.at() + terms.slackMs() * MS) {
@@ -302,7 +308,7 @@
         }
     }
 
-    /** A state's time runs while no attempt is out, from the last one's end. */
+    /** The time allowed for releasing a read state runs only while no attempt is in flight, from the end of the latest attempt. */
     private void judgeHolds(String id, Request r) {
         long heldSince = -1;
         for (Observation hold : r.holds) {
@@ -329,7 +335,10 @@
         judgeIdle(id, r, idleSince, to);
     }
 
-    /** Nothing can be let go while no server can be reached, nor by a process that was killed before it had to be. */
+    /**
+     * Doesn't count the time in which the conductor could reach no server, nor the time after it was killed: it can't release
+     * anything then.
+     */
     private void judgeIdle(String id, Request r, long from, long to) {
         long until = Math.min(to, killedAfter(from, r.sent.conductor()));
         long able = until - from - cutOffFromAll(r.sent.conductor(), from, until);
--- a/src/soak/java/copperbeam/soak/ProxiedConnection.java
+++ b/src/soak/java/copperbeam/soak/ProxiedConnection.java
@@ -13,25 +13,26 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * One connection through a {@link FaultProxy}. What the conductor sends is read at once, whatever becomes of it on the way: a close
- * or a reset is noted as it comes, also behind bytes that are slow to arrive.
+ * One connection through a {@link FaultProxy}. Reads what the conductor sends at once, even while the simulated network delays or
+ * drops it, so that the conductor's close or reset is noticed when it happens and not behind delayed bytes.
  */
 final class ProxiedConnection {
     private static final Map<SocketAddress, ProxiedConnection> BY_SERVER_END = new ConcurrentHashMap<>();
     private static final int LOOK_MS = 5;
     private static final int BUFFER = 16 * 1024;
-    private static final byte[] END = {}; // in the queue: nothing follows
+    private static final byte[] END = {}; // queued after the last bytes
 
     final String conductor;
     private final FaultProxy network;
     private final Socket near;
     private final Socket far;
-    private final BlockingQueue<byte[]> underWay = new LinkedBlockingQueue<>(); // from the conductor
+    // bytes from the conductor that have not been forwarded yet
+    private final BlockingQueue<byte[]> underWay = new LinkedBlockingQueue<>();
     private volatile long closedAt = Long.MAX_VALUE;
-    private volatile boolean reset; // by the conductor
-    private volatile boolean dead; // carries nothing any more, and neither end is told
-    private volatile boolean endedByNetwork;
-    private volatile long resetAt = Long.MAX_VALUE; // by the network, which both ends see
+    private volatile boolean reset; // the conductor has reset the connection
+    private volatile boolean dead; // carries nothing any more, and neither end gets an error
+    private volatile boolean endedByNetwork; // the network or the server ended it before the conductor did
+    private volatile long resetAt = Long.MAX_VALUE; // when the simulated network reset it at both ends
     private volatile long readAt;
     private volatile long carriedSince;
 
@@ -42,42 +43,45 @@
         far = new Socket();
     }
 
-    /** The connection that a server has accepted from this address. */
+    /** The connection that a server has accepted from this remote address. */
     static ProxiedConnection from(SocketAddress address) {
         return BY_SERVER_END.get(address);
     }
 
-    /** When the conductor closed its end or the network reset the connection. */
+    /** When the conductor closed its end or the network reset the connection; {@code Long.MAX_VALUE} while neither has happened. */
     long endedAt() {
         return Math.min(closedAt, resetAt);
     }
 
-    /** When the last bytes came from the conductor, however long they were on their way from here. */
+    /** When the last bytes were read from the conductor, however long it takes to forward them to the server. */
     long readAt() {
         return readAt;
     }
 
-    /** From when on what the conductor sends has been read, in case a connection was long in coming up beyond the conductor's side. */
+    /**
+     * From when on the proxy has read what the conductor sends; later than the conductor's connect if the connection to the server
+     * took long.
+     */
     long carriedSince() {
         return carriedSince;
     }
 
-    /** Waits while the network holds back what the server has written, and the conductor has not given it up. */
+    /** Waits while the network holds back what the server has written, unless the connection ends. */
     void awaitDelivery() throws InterruptedException {
         awaitPassage(() -> endedAt() != Long.MAX_VALUE);
     }
 
-    /** Carries nothing from now on, as where a device on the way has forgotten it; new connections come up. */
+    /** Stops forwarding without an error to either end, as when a NAT or firewall drops its entry; new connections still work. */
     void fallSilent() {
         dead = true;
     }
 
-    /** By either side or the network. */
+    /** Whether the conductor or the network has reset the connection. */
     boolean wasReset() {
         return reset || resetAt != Long.MAX_VALUE;
     }
 
-    /** Whether the conductor closed it while it was whole. */
+    /** Whether the conductor closed the connection while the network still carried it. */
     boolean givenUp() {
         return !dead && closedAt < resetAt;
     }
@@ -86,7 +90,7 @@
         return dead || network.silent();
     }
 
-    /** Whether bytes that are here now arrive; waits while nothing passes, unless it is {@code pointless}. */
+    /** Waits while the network is silent, unless {@code cancelled} becomes true; returns whether bytes may be forwarded. */
     private boolean awaitPassage(BooleanSupplier pointless) throws InterruptedException {
         if (!silent()) {
             return true;
@@ -97,12 +101,12 @@
         return !pointless.getAsBoolean();
     }
 
-    /** What is still on its way is gone with the conductor's end. */
+    /** Whether the conductor has ended the connection in a way that loses the bytes not yet forwarded. */
     private boolean abandoned() {
         return reset || dead && closedAt != Long.MAX_VALUE;
     }
 
-    /** Carries bytes both ways until an end closes. */
+    /** Connects to the server and forwards bytes both ways until an end closes. */
     void carry(InetSocketAddress server) throws IOException, InterruptedException {
         near.setTcpNoDelay(true);
         try {
@@ -135,7 +139,7 @@
         }
         underWay.add(END);
         if (abandoned()) {
-            delivery.join(LOOK_MS); // what had left before is delivered, unless nobody takes it
+            delivery.join(LOOK_MS); // forwards what was sent before, unless the server doesn't read
             end(true);
         }
     }
@@ -177,11 +181,11 @@
             clean = false;
         }
         awaitPassage(this::abandoned);
-        endedByNetwork |= closedAt == Long.MAX_VALUE; // the server has ended it
+        endedByNetwork |= closedAt == Long.MAX_VALUE; // the server ended the connection first
         end(!clean);
     }
 
-    /** The network resets it. */
+    /** Resets the connection at both ends, as the network may. */
     void resetByNetwork() {
         endedByNetwork = true;
         resetAt = System.nanoTime();
@@ -197,7 +201,7 @@
                 }
                 socket.close();
             } catch (IOException e) {
-                continue; // it was closed
+                continue; // it was closed already
             }
         }
     }
--- a/src/soak/java/copperbeam/soak/ReachLog.java
+++ b/src/soak/java/copperbeam/soak/ReachLog.java
@@ -3,7 +3,10 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** Notes when a conductor can reach no listed server any more, by whichever troubles together, and when one again. */
+/**
+ * Notes when a conductor can no longer reach any listed server, by whatever combination of troubles, and when it can reach one
+ * again.
+ */
 final class ReachLog {
     private final SoakSite site;
     private final Set<String> cutOff = new HashSet<>(); // conductors, by their names
@@ -12,7 +15,7 @@
         this.site = site;
     }
 
-    /** To be called whenever the network or the list has changed. */
+    /** Notes what has changed; to be called after each change of the network or the server list. */
     synchronized void look() {
         for (ConductorProcess conductor : site.conductors) {
             boolean cut = site.listed().stream()
--- a/src/soak/java/copperbeam/soak/RequestKind.java
+++ b/src/soak/java/copperbeam/soak/RequestKind.java
@@ -1,12 +1,12 @@
 package copperbeam.soak;
 
-/** The classes of the soak's settings. */
+/** How a request may be repeated, with the name of its class in the soak's settings. */
 enum RequestKind {
     SAFE("ask"),
     UNSAFE("send"),
     KEYED("pay");
 
-    /** Of a heavy request's prompt, where the run's costs are uneven. */
+    /** Length of a heavy request's prompt in tokens, where the run's costs are uneven. */
     static final int HEAVY_TOKENS = 400;
 
     static final int USUAL_TOKENS = 40;
@@ -17,7 +17,7 @@
         this.requestClass = requestClass;
     }
 
-    /** The tokens of its prompts; {@code uneven}: one class weighs ten times the others. */
+    /** The length of its prompts in tokens; {@code uneven}: one class costs ten times as much as the others. */
     int promptTokens(boolean uneven) {
         return uneven && this == UNSAFE ? HEAVY_TOKENS : USUAL_TOKENS;
     }
--- a/src/soak/java/copperbeam/soak/ServerStandIn.java
+++ b/src/soak/java/copperbeam/soak/ServerStandIn.java
@@ -11,15 +11,18 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** A server by the protocol's page, which does what its mood has it do, and notes what it saw. */
+/**
+ * A stand-in of a server as the protocol describes it. Serves or misbehaves as its {@link Behavior} says, and notes what it
+ * observes.
+ */
 final class ServerStandIn implements AutoCloseable {
-    /** How it treats requests. */
+    /** How the server treats requests. */
     enum Mood {
         WELL,
         SLOW,
-        /** Takes requests and says nothing. */
+        /** Reads requests and never answers. */
         HANGS,
-        /** Reads nothing. */
+        /** Accepts connections and reads nothing. */
         DEAF,
         TURNS_AWAY,
         FAILS,
@@ -35,7 +38,8 @@
     final String id;
     final Role role;
     private final History history;
-    private final Map<String, String> states; // of reads, by request, at all servers: who holds it
+    // by request: the id of the reader that holds its read state; shared by all servers of the run
+    private final Map<String, String> states;
     private final Random random;
     private final ServerSocket listener;
     volatile Mood mood = Mood.WELL;
@@ -76,7 +80,7 @@
                     Thread.sleep(LOOK_MS);
                 }
                 if (link.wasReset()) {
-                    return; // while it read nothing; what it has of the request by then is no request
+                    return; // reset while the server read nothing; the part of a request that it has doesn't count
                 }
                 Message request = connection.read();
                 if (request == null || !request.whole()) {
@@ -110,7 +114,7 @@
         }
     }
 
-    /** As one that starts anew. */
+    /** Drops all read states, as a restart does. */
     void forgetStates() {
         states.forEach((request, holder) -> {
             if (holder.equals(id)) {
@@ -124,7 +128,7 @@
         history.add(new Observation.StateHeld(at, request, id));
     }
 
-    /** Whether the connection may carry another request. */
+    /** Serves or fails one attempt; returns whether the connection may carry another request. */
     private boolean attempt(HttpConnection connection, ProxiedConnection link, Message request, long opened)
             throws IOException, InterruptedException {
         String name = request.header("X-Request-ID");
@@ -145,10 +149,11 @@
         AttemptEnd end = AttemptEnd.FAILED;
         try {
             end = carryOut(connection, link, name, attempt);
-            link.awaitDelivery(); // nobody can know of its end before
+            link.awaitDelivery(); // the conductor can't see the end of the attempt before
         } finally {
             if (end != AttemptEnd.TURNED_AWAY && end != AttemptEnd.SERVED) {
-                end = link.givenUp() ? AttemptEnd.GIVEN_UP : AttemptEnd.FAILED; // also by the network
+                // FAILED also if the network ended the connection
+                end = link.givenUp() ? AttemptEnd.GIVEN_UP : AttemptEnd.FAILED;
             }
             history.add(new Observation.AttemptEnded(
                     Math.max(arrived + 1, Math.min(link.endedAt(), System.nanoTime())), name, attempt, end));
@@ -186,7 +191,7 @@
         }
     }
 
-    /** True while the conductor has not given up. */
+    /** Waits, but not beyond the end of the connection; returns whether the connection still exists. */
     private static boolean pause(ProxiedConnection link, long ms) throws InterruptedException {
         long until = System.nanoTime() + ms * 1_000_000;
         while (System.nanoTime() < until && link.endedAt() == Long.MAX_VALUE) {
@@ -201,7 +206,7 @@
         if (!waited && draw(2) == 0) {
             return AttemptEnd.GIVEN_UP;
         }
-        hold(name, System.nanoTime()); // a read that was given up may end well all the same
+        hold(name, System.nanoTime()); // a read may complete although the conductor has given it up
         connection.answer(202, "", "{\"cached_tokens\":0}");
         return waited ? AttemptEnd.SERVED : AttemptEnd.GIVEN_UP;
     }
@@ -246,7 +251,7 @@
         }
     }
 
-    /** For all servers of a run. */
+    /** A new map from a request to the reader that holds its read state, shared by all servers of a run. */
     static Map<String, String> states() {
         return new ConcurrentHashMap<>();
     }
--- a/src/soak/java/copperbeam/soak/SlowStartJudge.java
+++ b/src/soak/java/copperbeam/soak/SlowStartJudge.java
@@ -17,16 +17,17 @@
 import java.util.Map;
 
 /**
- * What is sent to servers that have started together, and who is served meanwhile. A warm server is taken to do as many
- * requests a second as came at most in any window, by its part among those of its role.
+ * Checks how much is sent to servers that have started together, and that all classes are served meanwhile. The throughput of a
+ * warm server is assumed to be the highest request rate in any window, divided by the number of servers of its role.
  */
 final class SlowStartJudge {
     private static final double NS = 1e9;
-    private static final double FEW = 30; // requests a window, under which the rule leaves more to chance
-    private static final int ENOUGH = 12; // requests of a class, for its share to tell something
-    private static final double LEAST_SHARE = 0.5; // of another class's
+    // below so many requests in a window the bound has a larger margin for chance
+    private static final double FEW = 30;
+    private static final int ENOUGH = 12; // requests of a class from which on its share is significant
+    private static final double LEAST_SHARE = 0.5; // of the best-served class's share
 
-    /** How many of a class's requests came, and were served. */
+    /** How many requests of a class were sent and how many of them were served. */
     private static final class Share {
         private int sent;
         private int served;
@@ -47,9 +48,9 @@
     private final Oracle.SlowStart rules;
     private final Map<String, Sent> requests = new HashMap<>();
     private final Map<String, Observation> ends =
-            new HashMap<>(); // an answer, or the client's going, whichever came first
+            new HashMap<>(); // by request: the answer or the client's departure, whichever came first
     private final Map<String, ServerStarted> starts = new HashMap<>();
-    private final Map<String, Deque<Call>> calls = new HashMap<>(); // of the last window, by server
+    private final Map<String, Deque<Call>> calls = new HashMap<>(); // attempts within the last window, by server
     private final List<AttemptArrived> arrivals = new ArrayList<>();
     private final List<Violation> violations = new ArrayList<>();
 
@@ -85,7 +86,7 @@
         ServerStarted start = starts.get(a.server());
         double age = start == null ? -1 : (a.at() - start.at()) / NS;
         if (age < terms.slackMs() / 1000.0 || age > rules.warmWithinS() || !requests.containsKey(a.id())) {
-            return; // before it was told to all, or warm
+            return; // warm, or just started and not all conductors know it yet, or sent by no client
         }
         Deque<Call> window = calls.computeIfAbsent(a.server(), server -> new ArrayDeque<>());
         window.add(new Call(a.at(), weight(requests.get(a.id()).kind())));
@@ -98,11 +99,11 @@
             violations.add(new Violation(
                     Rule.SLOW_START_EXCEEDED,
                     a.server(),
-                    String.format(Locale.ROOT, "%.1f requests of mean work in a window, bound %.1f", sum, bound)));
+                    String.format(Locale.ROOT, "%.1f requests of mean cost in a window, bound %.1f", sum, bound)));
         }
     }
 
-    /** Of all requests' mean. */
+    /** The cost of a request of this kind, in multiples of the mean of all requests. */
     private double weight(RequestKind kind) {
         double mean = requests.values().stream()
                 .mapToInt(sent -> sent.kind().promptTokens(true))
@@ -111,13 +112,16 @@
         return kind.promptTokens(true) / mean;
     }
 
-    /** What a window that ends at this age may hold. */
+    /** The cost, in mean requests, that may be sent in a window that ends at this age of the server in seconds. */
     private double budget(double age, Role role) {
         double peers = starts.values().stream().filter(s -> s.role() == role).count();
         return rules.fallMultiple() * mostPerS() / peers * (capacity(age) - capacity(age - rules.fallS()));
     }
 
-    /** The capacity surely present, added up from the start; before it as at it. */
+    /**
+     * Guaranteed capacity of a warming server, integrated from its start to this age, in seconds of a warm server. Before the start
+     * the integral continues with the capacity at the start.
+     */
     private double capacity(double age) {
         double warming = Math.max(0, Math.min(age, rules.warmWithinS()));
         double share = warming / rules.warmWithinS();
@@ -141,7 +145,7 @@
         return most / rules.fallS();
     }
 
-    /** Of those whose whole time lies in the slow start. */
+    /** Compares the served shares of classes among the requests whose time from sending to deadline lies within the slow start. */
     private void judgeShares(ServerStarted first) {
         long warm = first.at() + (long) (rules.warmWithinS() * NS);
         Map<RequestKind, Share> shares = new EnumMap<>(RequestKind.class);
--- a/src/soak/java/copperbeam/soak/Soak.java
+++ b/src/soak/java/copperbeam/soak/Soak.java
@@ -4,9 +4,12 @@
 import java.nio.file.Path;
 import java.util.List;
 
-/** The command line of the soak: {@code FIRST_SEED SEEDS [SECONDS [CONDUCTORS [CLIENTS]]]}. Exits with 1 where a rule was broken. */
+/**
+ * Command line of the soak: {@code FIRST_SEED SEEDS [SECONDS [CONDUCTORS [CLIENTS]]]}. Runs one seed after another and exits with 1
+ * if a rule was broken or if a run served too few requests to be conclusive.
+ */
 public final class Soak {
-    private static final int LEAST_SERVED_PART = 4; // one request in so many, or a run tells nothing
+    private static final int LEAST_SERVED_PART = 4; // a run with fewer than 1/4 of its requests served is inconclusive
     private static final Path FOLDER = Path.of("target", "soak");
 
     private Soak() {}
@@ -15,7 +18,7 @@
         return args.length > place ? Integer.parseInt(args[place]) : usual;
     }
 
-    /** Plays one seed after another. */
+    /** Writes the evidence of each broken rule to a file in {@code target/soak/seed-SEED}. */
     public static void main(String[] args) throws Exception {
         int first = argument(args, 0, 1);
         int seeds = argument(args, 1, 1);
--- a/src/soak/java/copperbeam/soak/SoakRun.java
+++ b/src/soak/java/copperbeam/soak/SoakRun.java
@@ -12,21 +12,27 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.function.UnaryOperator;
 
-/** One seed: a fleet of conductors between stand-ins, the troubles of its {@link TroublePlan}, and the verdict. */
+/**
+ * One run of the soak, determined by its seed: conductor processes between stand-ins of clients, servers and discovery, with the
+ * injected faults ("troubles") of a {@link TroublePlan}, judged by the {@link Oracle}.
+ */
 public final class SoakRun implements AutoCloseable {
-    /** How large and how long; {@code plant}: a fault that the oracle has to find, or null. */
+    /**
+     * Number of parties and length of a run. {@code defect}: a defect that is injected on purpose to check that the oracle finds
+     * it, or null.
+     */
     public record Size(int conductors, int clients, int readers, int writers, long lengthMs, Plant plant) {}
 
-    /** A fault planted in what conductors send, so that the oracle can be seen to find it. */
+    /** A deliberate defect: the proxies alter what conductors send to servers, which the oracle must detect. */
     public enum Plant {
-        /** Servers are told 2 s too much. */
+        /** The remaining time announced to servers is too long: a 2 is put before its digits (300 ms become 2300 ms). */
         TELL_TOO_MUCH(Mood.WELL, text -> text.replaceAll("X-Timeout: (\\d+)m", "X-Timeout: 2$1m")),
-        /** Releases reach another request's state. */
+        /** Releases of read states name another request. */
         MISPLACED_RELEASES(Mood.TURNS_AWAY, text -> text.replace("DELETE /state/", "DELETE /state/x")),
-        /** What a client sends under one id reaches servers under another. */
+        /** Requests reach servers under an id other than the client's. */
         OTHER_IDS(Mood.WELL, text -> text.replace("X-Request-ID: ", "X-Request-ID: other-"));
 
-        private final Mood writers; // by which the fault comes to bear
+        private final Mood writers; // makes writers behave so that the defect has an effect
         private final UnaryOperator<String> change;
 
         Plant(Mood writers, UnaryOperator<String> change) {
@@ -35,11 +41,14 @@
         }
     }
 
-    private static final long SLACK_MS = 150; // a machine with ten JVMs on it sees things late
-    private static final int CROWD_EACH = 4; // runs; one of them has a crowd of idle clients throughout
-    private static final int UNEVEN_EACH = 6; // runs; in one of them one class is heavy, and all servers start together
-    private static final int LARGE_CROWD = 400; // more than a conductor has descriptors for
-    private static final long AROUND_NS = 2_000_000_000L; // of troubles before and after what they may have caused
+    // tolerance of the oracle: with ten JVMs on one machine events are seen late
+    private static final long SLACK_MS = 150;
+    private static final int CROWD_EACH = 4; // in every 4th seed there are idle clients throughout
+    // in every 6th seed one class is heavy, and all servers restart together
+    private static final int UNEVEN_EACH = 6;
+    // idle clients per conductor: more than it has file descriptors for
+    private static final int LARGE_CROWD = 400;
+    private static final long AROUND_NS = 2_000_000_000L; // evidence includes troubles this long before and after
 
     private final long seed;
     private final Size size;
@@ -50,7 +59,7 @@
     private final Lateness lateness = Lateness.start();
     private final Map<String, ConductorLife> lives = new HashMap<>(); // by the conductor's name
 
-    /** {@code folder}: where the processes' logs and recordings stay. */
+    /** {@code folder}: where the processes keep their logs and recordings. */
     public SoakRun(long seed, Size size, Path folder) throws IOException {
         this.seed = seed;
         this.size = size;
@@ -74,7 +83,7 @@
                 : SoakSettings.draw(random, size.conductors(), seed % 2 == 0);
     }
 
-    /** Plays the run; the rules that were broken. */
+    /** Executes the run and returns the rules that were broken. */
     public List<Violation> play() throws IOException, InterruptedException {
         site.start();
         TroublePlan plan = settings.uneven()
@@ -111,7 +120,10 @@
         return Oracle.judge(site.history.inOrder(), settings.terms(SLACK_MS + lateness.worstMs()));
     }
 
-    /** What was seen of the subject of a broken rule, with the troubles of that time; times in ms from the first line. */
+    /**
+     * All observations of a violation's subject together with the troubles of that time, one a line; times are in milliseconds
+     * since the subject's first observation.
+     */
     public List<String> evidence(Violation violation) {
         List<Observation> all = site.history.inOrder();
         List<Observation> own = all.stream()
@@ -129,19 +141,19 @@
                 .toList();
     }
 
-    /** How late threads were at worst, as the machine had other work: so much more the oracle bears. */
+    /** The longest scheduling delay measured on this machine during the run; the oracle adds it to its tolerance. */
     public long worstLatenessMs() {
         return lateness.worstMs();
     }
 
-    /** So many requests got a whole 200. */
+    /** The number of requests that were answered by a complete 200. */
     public long served() {
         return site.history.inOrder().stream()
                 .filter(o -> o instanceof Observation.Answered a && a.status() == 200 && a.whole())
                 .count();
     }
 
-    /** So many requests were sent. */
+    /** The number of requests that clients sent. */
     public long sent() {
         return site.history.inOrder().stream()
                 .filter(Observation.Sent.class::isInstance)
--- a/src/soak/java/copperbeam/soak/SoakSettings.java
+++ b/src/soak/java/copperbeam/soak/SoakSettings.java
@@ -3,7 +3,11 @@
 import java.util.Locale;
 import java.util.Random;
 
-/** The settings of a run's site, and what follows from them for the platform and the oracle. */
+/**
+ * The conductors' settings in one run, and what the platform (time until the kill) and the oracle (tolerances) derive from them.
+ * {@code releaseMs}: the time a conductor has to release a read state; {@code uneven}: one class of requests costs ten times as much
+ * as the others.
+ */
 record SoakSettings(
         int conductors,
         long longestDeadlineMs,
@@ -14,12 +18,13 @@
         boolean uneven) {
     private static final int MOST_ATTEMPTS = 4;
     private static final long KEYED_WINDOW_MS = 1500;
-    private static final long MOST_KILL_DEADLINE_MS = 3000; // a longer deadline counts as this for the kill
-    private static final long KILL_MORE_MS = 700;
+    // request deadlines longer than this don't delay the kill any further
+    private static final long MOST_KILL_DEADLINE_MS = 3000;
+    private static final long KILL_MORE_MS = 700; // from the longest deadline to the kill
     private static final long[] DEADLINES_MS = {3000, 1500, 900};
     private static final long[] RELEASES_MS = {1000, 500, 300};
     private static final double WARM_WITHIN_S = 5;
-    private static final double UNEVEN_WARM_WITHIN_S = 10; // long enough for a share of a rare class to tell something
+    private static final double UNEVEN_WARM_WITHIN_S = 10; // long enough for a significant share of a rare class
     private static final Oracle.SlowStart SLOW_START = new Oracle.SlowStart(0.28, WARM_WITHIN_S, 3, 2);
     private static final String TEXT = """
             {"balancers":%d,"kinds":["prefill","decode"],
@@ -32,17 +37,20 @@
              "report":{"via":"on_probe"},"extra":{"role_by_kind":["read","write"],"release_s":%s,"resume":%s}}
             """;
 
-    /** Deadlines of 3 s, a second to let go, all allowed. */
+    /** Deadlines of 3 s, 1 s to release a read state; cancellation and probes are on. */
     static SoakSettings usual(int conductors, boolean resume) {
         return new SoakSettings(conductors, DEADLINES_MS[0], RELEASES_MS[0], resume, true, true, false);
     }
 
-    /** The usual ones; one class weighs ten times the others, and servers are cold for long. */
+    /** The default settings, except that one class costs ten times as much as the others and servers warm up for 10 s. */
     static SoakSettings uneven(int conductors, boolean resume) {
         return new SoakSettings(conductors, DEADLINES_MS[0], RELEASES_MS[0], resume, true, true, true);
     }
 
-    /** Half of all have the usual deadline and release time; the rest are shorter, by which the kill comes sooner too. */
+    /**
+     * Draws deadline, release time and probes. Half of the runs have the default deadline, half the default release time; the others
+     * have shorter ones. A shorter deadline also brings the kill forward.
+     */
     static SoakSettings draw(Random random, int conductors, boolean resume) {
         return new SoakSettings(
                 conductors,
@@ -54,7 +62,7 @@
                 false);
     }
 
-    /** As the platform writes them. */
+    /** The settings file as the platform writes it. */
     String text() {
         String deadline = seconds(longestDeadlineMs);
         return String.format(
@@ -80,12 +88,12 @@
         return Double.toString(ms / 1000.0);
     }
 
-    /** The earliest SIGKILL after SIGTERM. */
+    /** The shortest time from SIGTERM to SIGKILL that the platform grants. */
     long killMs() {
         return Math.min(longestDeadlineMs, MOST_KILL_DEADLINE_MS) + KILL_MORE_MS;
     }
 
-    /** Until when a server that has started is cold. */
+    /** The time after its start in which a server counts as cold. */
     long warmWithinMs() {
         return (long) (slowStart().warmWithinS() * 1000);
     }
--- a/src/soak/java/copperbeam/soak/SoakSite.java
+++ b/src/soak/java/copperbeam/soak/SoakSite.java
@@ -13,16 +13,19 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.UnaryOperator;
 
-/** Conductor processes between stand-ins of servers and discovery, each pair with a {@link FaultProxy} between them. */
+/**
+ * The processes of a run: conductors, stand-ins of servers and of discovery, and a {@link FaultProxy} between each conductor and
+ * each server.
+ */
 final class SoakSite implements AutoCloseable {
-    static final long START_MS = 30_000; // which the platform lets a start take
+    static final long START_MS = 30_000; // the time the platform grants a process to become ready
 
     final History history = new History();
     final Fleet fleet = new Fleet();
     final List<ConductorProcess> conductors = new ArrayList<>();
     final Map<String, ServerStandIn> servers = new ConcurrentHashMap<>();
-    private final Map<String, FaultProxy> proxies = new ConcurrentHashMap<>(); // by conductor and server
-    private final Map<String, DiscoveryAgent> agents = new ConcurrentHashMap<>(); // by conductor
+    private final Map<String, FaultProxy> proxies = new ConcurrentHashMap<>(); // by "conductor server"
+    private final Map<String, DiscoveryAgent> agents = new ConcurrentHashMap<>(); // by the conductor's name
     private final Map<String, String> states = ServerStandIn.states();
     private final List<AutoCloseable> all = new CopyOnWriteArrayList<>();
     private final AtomicInteger serverNumbers = new AtomicInteger();
@@ -30,13 +33,13 @@
     private final UnaryOperator<String> plant;
     private volatile long clockOffsetMs;
 
-    /** {@code plant}: changes what conductors send to servers, or null. */
+    /** {@code requestChange}: a deliberate defect, applied to what conductors send to servers; or null. */
     SoakSite(Random random, UnaryOperator<String> plant) {
         this.random = random;
         this.plant = plant;
     }
 
-    /** To be called before the first server is added; {@code operated}: with a door for operators. */
+    /** To be called before the first server is added. {@code hasControl}: the process listens for operators' commands. */
     ConductorProcess addConductor(Path folder, boolean operated, String settings) throws IOException {
         String name = "n" + conductors.size();
         ConductorProcess conductor = new ConductorProcess(name, folder.resolve(name), operated, settings);
@@ -60,7 +63,7 @@
         return server;
     }
 
-    /** A new address of discovery, which the conductor's file names from now on. */
+    /** Starts a discovery agent at a new address and writes that address into the conductor's configuration file. */
     DiscoveryAgent newAgent(ConductorProcess conductor) throws IOException {
         DiscoveryAgent agent = new DiscoveryAgent(
                 conductor.name, fleet, id -> proxy(conductor, id).hostAndPort(), history);
@@ -89,7 +92,7 @@
                 .toList();
     }
 
-    /** Starts all conductors and waits for them. */
+    /** Starts all conductors and waits until each is ready. */
     void start() throws IOException, InterruptedException {
         for (ConductorProcess conductor : conductors) {
             newAgent(conductor);
@@ -97,7 +100,7 @@
         }
         for (ConductorProcess conductor : conductors) {
             if (conductor.awaitReady(START_MS) < 0) {
-                throw new IllegalStateException(conductor.name + " did not start");
+                throw new IllegalStateException(conductor.name + " was not ready in time");
             }
             conductor.takesClients(true);
         }
@@ -107,7 +110,7 @@
         return System.currentTimeMillis() + clockOffsetMs;
     }
 
-    /** The wall clock of all machines, as they read one clock. */
+    /** Steps the wall clock of all conductors; the stand-ins' start times follow it too. */
     void stepClock(Duration by) {
         clockOffsetMs += by.toMillis();
         conductors.forEach(c -> c.shim.clockOffset(Duration.ofMillis(clockOffsetMs)));
--- a/src/soak/java/copperbeam/soak/TroubleInjector.java
+++ b/src/soak/java/copperbeam/soak/TroubleInjector.java
@@ -8,19 +8,23 @@
 import java.util.Map;
 import java.util.function.Predicate;
 
-/** Carries the troubles of a {@link TroublePlan} out, each on a thread of its caller's; what it changes is whole again behind it. */
+/**
+ * Injects the troubles of a {@link TroublePlan}. Each blocks the calling thread for its length and is undone at its end, except for
+ * clock steps, restarts and replacements, which last.
+ */
 final class TroubleInjector {
     private static final int[] CLOCK_STEPS_S = {-3600, -7, -2, 2, 7, 3600};
-    private static final int[] NETWORK_ERRORS = {99, 101, 103, 105, 110, 113, 23}; // from EADDRNOTAVAIL to ENFILE
+    // EADDRNOTAVAIL, ENETUNREACH, ECONNABORTED, ENOBUFS, ETIMEDOUT, EHOSTUNREACH, ENFILE
+    private static final int[] NETWORK_ERRORS = {99, 101, 103, 105, 110, 113, 23};
     private static final int[] DISK_ERRORS = {5, 28}; // EIO, ENOSPC
     private static final long LONGEST_ERRORS_MS = 600;
-    private static final int CROWD = 150;
-    private static final int HOLD_UP_MS = 150; // which the pages have a busy core do
+    private static final int CROWD = 150; // idle clients
+    private static final int HOLD_UP_MS = 150; // the stall that the documentation assumes for a busy core
     private static final int SIGNAL_PAUSE_MS = 400; // at most, between the signals of a series
-    private static final double ROLE_SHARE = 0.8; // of one role's servers fall silent together
-    private static final long LEAVE_MORE_MS = 1500; // from a server's drain to its end
+    private static final double ROLE_SHARE = 0.8; // the part of one role's servers that becomes unreachable together
+    private static final long LEAVE_MORE_MS = 1500; // a drain lasts this much longer than its trouble
     private static final int LEAST_SHORT =
-            100; // bytes; fewer make a body of 200 KB a matter of seconds of processor time
+            100; // bytes per call; with fewer a body of 200 KB takes seconds of processor time
     private static final int MOST_SHORT = 2000;
 
     private final SoakSite site;
@@ -33,7 +37,7 @@
         this.lives = lives;
     }
 
-    /** Notes its beginning and its end, and is over by then. */
+    /** Injects one trouble and returns after its end; notes its beginning and its end in the history. */
     void carryOut(Trouble trouble) throws IOException, InterruptedException {
         site.history.add(new Observation.Troubled(System.nanoTime(), trouble, true));
         ConductorProcess conductor = pick(site.conductors, trouble);
@@ -59,7 +63,7 @@
         site.history.add(new Observation.Troubled(System.nanoTime(), trouble, false));
     }
 
-    /** Those of servers and the network. */
+    /** Injects the troubles of servers and of the network. */
     private void carryOutBeyond(ConductorProcess conductor, ServerStandIn server, Trouble trouble)
             throws IOException, InterruptedException {
         List<FaultProxy> toServer = site.proxiesOf(server);
@@ -84,7 +88,10 @@
 
     // ---- conductors ----------------------------------------------------------------------------
 
-    /** A process that has not begun its main method is ended by the signal, which nobody can change there. */
+    /**
+     * Gives the conductor a new address of discovery and has it reload, one to three times. Skips a conductor that is being started or
+     * stopped: a JVM that hasn't reached its main method yet has no handler for the signal and is ended by it.
+     */
     private void reload(ConductorProcess conductor, Trouble trouble) throws IOException, InterruptedException {
         boolean starts = lives.get(conductor.name).changing();
         for (int signals = starts ? 0 : 1 + trouble.draw() % 3; signals > 0; signals--) {
@@ -141,7 +148,7 @@
         site.history.add(new Observation.ServerStarted(System.nanoTime(), server.id, server.role));
     }
 
-    /** One that keeps its role has to stay, as nothing is served without it. */
+    /** Replaces a server: drains it, adds a new one, removes it. Does nothing if it is the last of its role, which must stay. */
     private void replace(ServerStandIn server, Trouble trouble) throws IOException, InterruptedException {
         synchronized (site.fleet) {
             if (site.listed().stream().filter(s -> s.role == server.role).count() < 2) {
@@ -155,7 +162,7 @@
         site.fleet.put(server.id, server.role, "left", site.fleet.get(server.id).startedMs());
     }
 
-    /** All servers, all readers or all writers. */
+    /** The proxies between the conductor and all servers, all readers or all writers. */
     private List<FaultProxy> cutOffFrom(ConductorProcess conductor, Trouble trouble) {
         Predicate<ServerStandIn> concerned = switch (trouble.draw() % 3) {
             case 0 -> server -> true;
@@ -168,7 +175,7 @@
                 .toList();
     }
 
-    /** Those between all conductors and four in five of one role's servers, as where a rack loses its uplink. */
+    /** The proxies between all conductors and 80 % of one role's servers, as when a rack loses its uplink. */
     private List<FaultProxy> proxiesOfMost(Role role) {
         List<ServerStandIn> all =
                 site.listed().stream().filter(s -> s.role == role).toList();
--- a/src/soak/java/copperbeam/soak/TroublePlan.java
+++ b/src/soak/java/copperbeam/soak/TroublePlan.java
@@ -4,15 +4,18 @@
 import java.util.List;
 import java.util.Random;
 
-/** Which troubles come when in a run, drawn from its seed; several overlap at most times. */
+/** The schedule of the faults ("troubles") that are injected in a run, drawn from its seed; usually several overlap. */
 record TroublePlan(List<Trouble> troubles) {
-    /** What goes wrong. */
+    /** What is made to fail. */
     enum Kind {
+        /** A server treats requests by a drawn {@link ServerStandIn.Behavior} for a while. */
         SERVER_MOOD,
         SERVER_CUT_OFF,
         SERVER_REPLACED,
         CONDUCTOR_CUT_OFF,
+        /** No new connection to one server is established. */
         NETWORK_LATE,
+        /** Bytes to and from one server are forwarded in pieces of a few bytes. */
         NETWORK_TRICKLES,
         CONNECTIONS_RESET,
         DISCOVERY,
@@ -22,27 +25,33 @@
         RELOAD,
         CLOCK_STEP,
         SYSTEM_CALLS,
+        /** Reads from and writes to a conductor's sockets transfer at most 100 to 2099 bytes each. */
         SHORT_IO,
+        /** A conductor's writes to files fail. */
         DISK,
+        /** Many clients connect to a conductor and send nothing. */
         CLIENT_CROWD,
-        /** Four in five servers of one role fall silent together, for all conductors. */
+        /** 80 % of the servers of one role become unreachable together, for all conductors. */
         ROLE_CUT_OFF,
-        /** A conductor gets no processor for a moment. */
+        /** A conductor is suspended (SIGSTOP) for a moment, as if it got no processor time. */
         HELD_UP,
-        /** Connections that are open to one server carry nothing any more, and nobody is told; new ones come up. */
+        /** The existing connections to one server carry nothing any more, without an error at either end; new ones work. */
         CONNECTIONS_SILENT,
-        /** All servers start anew at once; never drawn among the others, as nothing else may go wrong meanwhile. */
+        /** All servers restart at once. Not drawn at random, as nothing else may fail during their slow start. */
         ALL_RESTARTED;
 
         private static final List<Kind> DRAWN = List.of(values()).subList(0, ALL_RESTARTED.ordinal());
     }
 
-    /** {@code target}: of whatever the kind has several, to be taken modulo their number; {@code draw}: for its details. */
+    /**
+     * One fault. {@code target}: selects the conductor or server concerned, modulo their number; {@code draw}: a random number that
+     * decides its details; {@code fromMs}: its beginning, since the start of the run.
+     */
     record Trouble(Kind kind, int target, int draw, long fromMs, long lengthMs) {}
 
-    private static final int FIRST_MS = 1500;
-    private static final int QUIET_END_MS = 5000;
-    private static final int MOST_PAUSE_MS = 900;
+    private static final int FIRST_MS = 1500; // since the start of the run
+    private static final int QUIET_END_MS = 5000; // no trouble begins in this last part of a run
+    private static final int MOST_PAUSE_MS = 900; // between the beginnings of two troubles
     private static final int LEAST_LENGTH_MS = 200;
     private static final int MOST_LENGTH_MS = 3500;
 
@@ -50,7 +59,7 @@
         return new TroublePlan(drawn(random, FIRST_MS, lengthMs));
     }
 
-    /** Begins with a start of all servers together, and has no other trouble until they are warm. */
+    /** A plan that first restarts all servers together and has no other trouble until they are warm. */
     static TroublePlan drawBehindStart(Random random, long lengthMs, long warmWithinMs) {
         List<Trouble> troubles = new ArrayList<>();
         troubles.add(new Trouble(Kind.ALL_RESTARTED, 0, 0, FIRST_MS, 0));
--- a/src/soak/java/copperbeam/soak/package-info.java
+++ b/src/soak/java/copperbeam/soak/package-info.java
@@ -1,6 +1,6 @@
 /**
- * A randomized fault soak: real conductor processes on the loopback between stand-ins of clients, servers and discovery,
- * with faults that overlap in time, and an oracle that holds the protocol's rules against what all parties saw. See
- * docs/fault-soak.md.
+ * A randomized fault soak test: real conductor processes run on the loopback interface between stand-ins of clients, servers and
+ * discovery, under injected faults that overlap in time. An oracle checks what all parties observed against the protocol's rules.
+ * See docs/fault-soak.md.
  */
 package copperbeam.soak;
--- a/src/test/java/copperbeam/soak/ClockStepTest.java
+++ b/src/test/java/copperbeam/soak/ClockStepTest.java
@@ -13,7 +13,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The wall clock of all machines steps while real processes serve: all spans stay those of real time. */
+/** Steps the wall clock of all machines while real processes serve: timeouts and slow start must still follow elapsed time. */
 public class ClockStepTest {
     private static final String SETTINGS = """
             {"balancers":1,"kinds":["prefill","decode"],
@@ -25,7 +25,7 @@
             """;
     private static final int CLIENTS = 8;
     private static final int PATIENCE_MS = 5000;
-    private static final int UNFINISHED_MS = 4000; // bad clients are owed their error or close within 3 s
+    private static final int UNFINISHED_MS = 4000; // a client with an unfinished request must get its error or close within 3 s
 
     @DataProvider
     public Object[][] steps() {
@@ -71,7 +71,7 @@
                 .count();
     }
 
-    /** A server that starts after the step is cold at first, and has its full part once it is warm. */
+    /** A server that starts after the step gets few requests while it is cold, and its full share once it is warm. */
     @Test(dataProvider = "steps")
     public void aServerThatStartsAfterwardsIsColdAndThenWarm(int seconds) throws Exception {
         try (SoakSite site = site(false)) {
@@ -81,10 +81,10 @@
             for (int i = 0; i < CLIENTS; i++) {
                 Daemon.start("client", () -> load(conductor, over, served));
             }
-            Thread.sleep(1200); // of load, by which the demand is known
+            Thread.sleep(1200); // of load, so that the conductor knows the demand
             ServerStandIn warm = site.servers.get("s-2");
             site.stepClock(Duration.ofSeconds(seconds));
-            Thread.sleep(700); // servers begin after it, not within the same moment
+            Thread.sleep(700); // so that the server starts clearly after the step
             long began = System.nanoTime();
             ServerStandIn cold = site.addServer(Role.WRITER, site.wallClockMs());
             Thread.sleep(600);
@@ -103,7 +103,7 @@
         }
     }
 
-    /** A client that stops within a request gets its error or close, and a stop doesn't wait for it until the kill. */
+    /** A client that stops sending within a request gets an error or a close in time. */
     @Test(dataProvider = "stepsBack")
     public void anUnfinishedRequestEnds(int seconds) throws Exception {
         try (SoakSite site = site(false)) {
@@ -112,32 +112,32 @@
             try (HttpConnection connection = HttpConnection.to(conductor.address, PATIENCE_MS)) {
                 connection.timeout(UNFINISHED_MS);
                 connection.send("POST /v1/chat");
-                connection.read(); // throws where nothing comes
+                connection.read(); // throws at the timeout if nothing arrives
             }
         }
     }
 
-    /** Connects to a server that is cut off don't pile up until the system gives them up. */
+    /** Connection attempts to an unreachable server are abandoned, rather than piling up until the system times them out. */
     @Test(dataProvider = "stepsBack")
     public void connectsAreGivenUp(int seconds) throws Exception {
         try (SoakSite site = site(false)) {
             ConductorProcess conductor = site.conductors.get(0);
             site.stepClock(Duration.ofSeconds(seconds));
-            FaultProxy cut = site.proxy(conductor, "s-1"); // the one reader, so that each request tries it
+            FaultProxy cut = site.proxy(conductor, "s-1"); // the only reader, so that each request tries it
             cut.mode(FaultProxy.Mode.SILENT);
             AtomicBoolean over = new AtomicBoolean();
             for (int i = 0; i < CLIENTS; i++) {
                 Daemon.start("client", () -> load(conductor, over, new AtomicInteger()));
             }
-            Thread.sleep(3000); // of load
+            Thread.sleep(3000); // of load on the unreachable server
             over.set(true);
-            Thread.sleep(1500); // as long as the last one may take
+            Thread.sleep(1500); // the longest time that the last request may take
             long left = connecting(cut.address().getPort());
-            assertTrue(left <= 2, left + " connects are left"); // the proxy's own, which fills its queue, among them
+            assertTrue(left <= 2, left + " connection attempts are left"); // including the proxy's own one, which fills its queue
         }
     }
 
-    /** How many sockets of this machine wait for a connection to this port. */
+    /** The number of this machine's sockets in state SYN_SENT to this port of 127.0.0.1. */
     private static long connecting(int port) throws IOException {
         String waits = String.format(".* 0100007F:%04X 02 .*", port);
         return Files.readAllLines(Path.of("/proc/net/tcp")).stream()
@@ -148,6 +148,7 @@
                         .count();
     }
 
+    /** Neither a silent connection nor an unfinished request delays a stop until the kill. */
     @Test(dataProvider = "stepsBack")
     public void aStopEndsByItself(int seconds) throws Exception {
         try (SoakSite site = site(false)) {
@@ -156,7 +157,7 @@
             try (HttpConnection silent = HttpConnection.to(conductor.address, PATIENCE_MS);
                     HttpConnection half = HttpConnection.to(conductor.address, PATIENCE_MS)) {
                 half.send("POST /v1/chat");
-                Thread.sleep(200); // it is read
+                Thread.sleep(200); // until the conductor has read it
                 ConductorProcess.signal(conductor.process(), "TERM");
                 assertTrue(ConductorProcess.awaitEnd(conductor.process(), 3500), "ended before the kill");
                 assertTrue(silent.socket.isConnected());
@@ -164,7 +165,7 @@
         }
     }
 
-    /** The later process serves, and what was said by hand holds there. */
+    /** After an upgrade the new process serves, and keeps what an operator has set. */
     @Test(dataProvider = "stepsBack")
     public void anUpgradeGoesOn(int seconds) throws Exception {
         try (SoakSite site = site(true)) {
@@ -173,7 +174,7 @@
             assertTrue(conductor.says("DETACH s-2", "ACK"));
             site.stepClock(Duration.ofSeconds(seconds));
             conductor.start();
-            assertTrue(conductor.awaitReady(10_000) >= 0, "the later process is ready");
+            assertTrue(conductor.awaitReady(10_000) >= 0, "the new process is ready");
             ConductorProcess.signal(before, "TERM");
             assertTrue(ConductorProcess.awaitEnd(before, 5000));
             long since = System.nanoTime();
@@ -184,18 +185,18 @@
                     assertEquals(connection.read().word(1), "200");
                 }
             }
-            assertEquals(attempts(site, site.servers.get("s-2"), since), 0, "out by hand");
+            assertEquals(attempts(site, site.servers.get("s-2"), since), 0, "requests at a detached server");
             before.destroyForcibly();
         }
     }
 
-    /** What was said by hand outlives a restart, though the wall clock says that an hour has passed. */
+    /** What an operator has set survives a kill and restart, though the wall clock has advanced by an hour. */
     @Test
     public void whatWasSaidByHandOutlivesARestart() throws Exception {
         try (SoakSite site = site(true)) {
             ConductorProcess conductor = site.conductors.get(0);
             assertTrue(conductor.says("DETACH s-2", "ACK"));
-            Thread.sleep(1500); // one beat
+            Thread.sleep(1500); // more than one interval (1 s) of the heartbeat in the shared folder
             conductor.process().destroyForcibly().waitFor();
             site.stepClock(Duration.ofHours(1));
             conductor.start();
@@ -208,7 +209,7 @@
                     assertEquals(connection.read().word(1), "200");
                 }
             }
-            assertEquals(attempts(site, site.servers.get("s-2"), since), 0, "out by hand");
+            assertEquals(attempts(site, site.servers.get("s-2"), since), 0, "requests at a detached server");
         }
     }
 }
--- a/src/test/java/copperbeam/soak/OracleTest.java
+++ b/src/test/java/copperbeam/soak/OracleTest.java
@@ -28,12 +28,12 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** A history that keeps the rules, and each way of breaking one of them. */
+/** The oracle accepts histories that keep the rules, and finds each way of breaking one of them. */
 public class OracleTest {
     private static final long MS = 1_000_000;
     private static final Oracle.Terms TERMS = new Oracle.Terms(4, 1000, 1500, false, 50, null);
 
-    /** One request, read and written, from 0 to 120 ms. */
+    /** One request that is read by a reader and answered by a writer, from 0 to 120 ms. */
     private static List<Observation> served(RequestKind kind) {
         return List.of(
                 new Sent(0, "r", kind, "n0", 1000),
@@ -184,13 +184,13 @@
         };
     }
 
-    /** Never let go, as its conductor is killed after the answer. */
+    /** A read state that is never released, as its conductor is killed after the answer. */
     private static Object[] heldAtAKill(Rule rule, long killedMs) {
         return held(
                 rule, answered(800, 502), new Killed(killedMs * MS, "n0"), new CutOffFromAll(5000 * MS, "n1", true));
     }
 
-    /** Beyond its time by what the conductor is cut off from all servers. */
+    /** A read state that is held for too long; {@code conductor} is cut off from all servers for 1 s of that time. */
     private static Object[] heldWhileCutOff(Rule rule, String conductor) {
         return held(
                 rule,
@@ -200,7 +200,7 @@
                 new StateFreed(1500 * MS, "r"));
     }
 
-    /** A state is held from 10 ms on. */
+    /** A history in which a read state is held from 10 ms on. */
     private static Object[] held(Rule rule, Observation... then) {
         List<Observation> history = new ArrayList<>(List.of(
                 at(0, RequestKind.SAFE),
@@ -233,7 +233,7 @@
     @DataProvider
     public Object[][] slowStarts() {
         return new Object[][] {
-            // requests of the usual class and of the heavy one served, of 60 and 20; sent to one server at once
+            // served of 60 requests of the usual class, served of 20 of the heavy class, heavy requests sent to one server at once
             {60, 20, 8, null},
             {60, 10, 8, null},
             {60, 9, 8, Rule.CLASS_STARVED},
@@ -241,7 +241,10 @@
         };
     }
 
-    /** A reader that starts at 0, and requests of 80 clients, one each 50 ms: 20 a second, so that N is 33.6 in the first window. */
+    /**
+     * A reader starts at 0, and 80 requests are sent, one every 50 ms. At 20 a second the budget of the first window is 33.6 mean
+     * requests (3 times 20 a second for 2 s at a capacity of 0.28), not counting the small growth of the capacity within it.
+     */
     @Test(dataProvider = "slowStarts")
     public void slowStartIsJudged(int usual, int heavy, int atOnce, Rule rule) {
         List<Observation> history = new ArrayList<>(List.of(new ServerStarted(0, "reader", Role.READER)));
--- a/src/test/java/copperbeam/soak/QueuedRequestTest.java
+++ b/src/test/java/copperbeam/soak/QueuedRequestTest.java
@@ -10,7 +10,10 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** A request waits behind its connection in the system's queue, as nobody can be accepted: its client's time runs all the same. */
+/**
+ * While the conductor can't accept connections, a request waits in the system's accept queue. That time counts against its client's
+ * deadline, so servers must be told only the time that is left.
+ */
 public class QueuedRequestTest {
     private static final int EMFILE = 24;
     private static final long DEADLINE_MS = 3000;
@@ -18,7 +21,7 @@
 
     @DataProvider
     public Object[][] waits() {
-        return new Object[][] {{1000}, {2000}}; // the second one more than half of its client's time
+        return new Object[][] {{1000}, {2000}}; // milliseconds; the second is more than half of the client's deadline
     }
 
     @Test(dataProvider = "waits")
@@ -37,7 +40,7 @@
                         System.nanoTime(), "queued", RequestKind.SAFE, conductor.name, DEADLINE_MS));
                 connection.send(ClientDriver.text(
                         "queued", RequestKind.SAFE, RequestKind.USUAL_TOKENS, "s", DEADLINE_MS, "{}"));
-                Thread.sleep(queuedMs); // as long as nobody can be accepted
+                Thread.sleep(queuedMs); // the time in which no connection can be accepted
                 conductor.shim.fail(Fault.ACCEPT, 0, 0);
                 Message answer = connection.read();
                 assertEquals(answer.word(1), "200");
@@ -45,7 +48,7 @@
                         new Observation.Answered(System.nanoTime(), "queued", 200, answer.whole(), answer.body()));
             }
             List<Observation> seen = site.history.inOrder();
-            assertTrue(seen.stream().anyMatch(Observation.AttemptArrived.class::isInstance), "it was sent on");
+            assertTrue(seen.stream().anyMatch(Observation.AttemptArrived.class::isInstance), "the request reached a server");
             assertEquals(Oracle.judge(seen, settings.terms(lateness.worstMs())).toString(), "[]");
         }
     }
--- a/src/test/java/copperbeam/soak/SoakTest.java
+++ b/src/test/java/copperbeam/soak/SoakTest.java
@@ -10,12 +10,15 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Short runs of the fault soak: faults that are planted on the way to servers are found. docs/fault-soak.md has the long ones. */
+/**
+ * Short runs of the fault soak. The oracle must find deliberate defects in what is sent to servers, and must find no broken rule
+ * under random troubles or without troubles. docs/fault-soak.md describes the long runs.
+ */
 public class SoakTest {
     private static final long PLANTED_SEED = 4;
     private static final long LENGTH_MS = 3500;
     private static final long TROUBLED_MS = 11_000;
-    private static final int LEAST_SERVED_PART = 5; // one in so many, else the run tells nothing
+    private static final int LEAST_SERVED_PART = 5; // with fewer than 1/5 served the run is inconclusive
 
     @DataProvider
     public Object[][] plants() {
@@ -38,18 +41,18 @@
 
     @DataProvider
     public Object[][] seeds() {
-        // 41 and 45 with a crowd, 42 where streams resume, 44 with a heavy class while all servers are cold
+        // 41 and 45: a crowd of idle clients; 42: streams resume; 44: a heavy class while all servers are cold
         return new Object[][] {{41}, {42}, {44}, {45}};
     }
 
-    /** The soak itself, short; docs/fault-soak.md has the long runs by hand. */
+    /** A short soak with random troubles; docs/fault-soak.md describes the long runs, which are started by hand. */
     @Test(dataProvider = "seeds")
     public void overlappingTroublesBreakNoRule(int seed) throws Exception {
         SoakRun.Size size = new SoakRun.Size(3, 12, 3, 5, TROUBLED_MS, null);
         try (SoakRun run = new SoakRun(seed, size, Files.createTempDirectory("soak"))) {
             List<Violation> violations = run.play();
             violations.forEach(v -> run.evidence(v).forEach(System.out::println));
-            assertEquals(violations.toString(), "[]"); // of two lists TestNG tells the sizes alone
+            assertEquals(violations.toString(), "[]"); // compared as text, as TestNG prints only the sizes of two lists
             assertTrue(run.served() > run.sent() / LEAST_SERVED_PART, run.served() + " served of " + run.sent());
         }
     }
--- a/src/test/java/copperbeam/soak/StartTest.java
+++ b/src/test/java/copperbeam/soak/StartTest.java
@@ -13,16 +13,16 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Starts of real processes that meet a signal or a system that has nothing left. */
+/** Starts and stops of real processes that get a signal early, or run out of descriptors or time. */
 public class StartTest {
     private static final int SIGTERM = 15;
     private static final int EMFILE = 24;
     private static final int ENFILE = 23;
     private static final int END_MS = 20_000;
-    private static final int MOST_LINES = 60; // of a log
-    private static final long STOP_DEADLINE_MS = 1500; // the kill comes 2.2 s after SIGTERM
-    private static final int UNHEARD_MS = 900; // in the stop, so that releases last until its end
-    private static final int ON_ITS_WAY_MS = 100;
+    private static final int MOST_LINES = 60; // that the log may grow by
+    private static final long STOP_DEADLINE_MS = 1500; // by which the kill comes 2.2 s after SIGTERM
+    private static final int UNHEARD_MS = 900; // request deadline, within the stop, so that releases are due until its end
+    private static final int ON_ITS_WAY_MS = 100; // time for the request to reach the conductor before SIGTERM
 
     private final Path folder = temporary();
 
@@ -46,19 +46,19 @@
         return site;
     }
 
-    /** From the moment in which it listens it may have taken requests, so that its end is an orderly one. */
+    /** A process that listens may have accepted requests already, so a signal from then on must cause an orderly stop. */
     @Test
     public void aSignalAsItBeginsToListenIsAnOrderlyStop() throws Exception {
         try (SoakSite site = site(false)) {
             ConductorProcess conductor = site.conductors.get(0);
             conductor.shim.signalAtListen(SIGTERM);
             Process process = conductor.start();
-            assertTrue(ConductorProcess.awaitEnd(process, END_MS), "it ends");
+            assertTrue(ConductorProcess.awaitEnd(process, END_MS), "the process exits");
             assertEquals(process.exitValue(), 0);
         }
     }
 
-    /** One that can't start ends and says so, as whoever started it waits for one or the other. */
+    /** A process that can't start exits with an error, so that its supervisor needn't wait for a readiness that never comes. */
     @Test
     public void aStartThatFailsEnds() throws Exception {
         for (int survived = 0; survived < 4; survived++) {
@@ -67,13 +67,16 @@
                 conductor.shim.failAfter(Fault.EPOLL_CREATE, EMFILE, survived);
                 Process process = conductor.start();
                 boolean ended = ConductorProcess.awaitEnd(process, survived == 0 ? END_MS : 4000);
-                assertTrue(ended || conductor.awaitReady(END_MS) >= 0, "neither ended nor ready: " + survived);
+                assertTrue(ended || conductor.awaitReady(END_MS) >= 0, "neither exited nor ready: " + survived);
                 assertTrue(!ended || process.exitValue() == 1, "exit code");
             }
         }
     }
 
-    /** A socket that can't be had for a moment at the start costs no service: the JDK takes some answers then for life. */
+    /**
+     * One failed socket call during the start must not keep the process out of service: the JDK remembers the result of some probes
+     * that it makes then for the lifetime of the process.
+     */
     @Test
     public void aSocketThatFailsOnceAtTheStartIsOutlived() throws Exception {
         for (int survived = 0; survived < 4; survived++) {
@@ -81,13 +84,13 @@
                 ConductorProcess conductor = site.conductors.get(0);
                 conductor.shim.failAfter(Fault.SOCKET, ENFILE, survived, 1);
                 conductor.start();
-                assertTrue(conductor.awaitReady(10_000) >= 0, "never in service, socket " + survived);
-                assertTrue(conductor.shim.failed(Fault.SOCKET) == 1, "it was met");
+                assertTrue(conductor.awaitReady(10_000) >= 0, "not ready in time; socket calls that succeeded first: " + survived);
+                assertTrue(conductor.shim.failed(Fault.SOCKET) == 1, "one socket call failed");
             }
         }
     }
 
-    /** Callers at the operators' door that can't be taken cost neither the log nor the processor. */
+    /** While connections of operators can't be accepted, the process neither floods its log nor spins. */
     @Test
     public void aDoorWithoutDescriptorsRests() throws Exception {
         try (SoakSite site = site(true)) {
@@ -100,10 +103,10 @@
             for (int i = 0; i < 3; i++) {
                 callers.add(conductor.caller());
             }
-            Thread.sleep(1500); // as long as this lasts
+            Thread.sleep(1500); // the time in which accept fails
             conductor.shim.fail(Fault.ACCEPT, 0, 0);
             assertTrue(lines(conductor) - before < MOST_LINES, lines(conductor) - before + " lines");
-            assertTrue(conductor.awaitReady(END_MS) >= 0, "it goes on");
+            assertTrue(conductor.awaitReady(END_MS) >= 0, "ready again");
             for (Socket caller : callers) {
                 caller.close();
             }
@@ -111,15 +114,15 @@
         }
     }
 
-    /** {@code kept}: connections to silent servers stay, else there are connects alone, which nothing answers. */
+    /** {@code kept}: whether connections to the silent servers stay open; if not, there are only connection attempts without answer. */
     @DataProvider
     public Object[][] connections() {
         return new Object[][] {{true}, {false}};
     }
 
     /**
-     * The JVM's end waits up to 0.3 s for threads within a call of the system, as reactors are: a stop that servers keep from
-     * letting go up to its last moment was over in time, and its process still there at the kill.
+     * At its exit the JVM waits up to 0.3 s for threads that are within a system call, as reactor threads are. A stop that waits until
+     * its last moment for releases of read states must leave time for that, or the process is still there at the kill.
      */
     @Test(dataProvider = "connections")
     public void aStopThatWaitsForReleasesIsOverAtTheKill(boolean kept) throws Exception {
--- a/src/test/java/copperbeam/soak/UnconfirmedSendTest.java
+++ b/src/test/java/copperbeam/soak/UnconfirmedSendTest.java
@@ -14,15 +14,15 @@
 import org.testng.annotations.Test;
 
 /**
- * Writers fall silent while readers go on: what a conductor has written to them has not arrived, so that it stops no clock of the
- * read states that wait for it. A real process between stand-ins, judged by the oracle.
+ * Writers become unresponsive while readers work. What a conductor writes to them then doesn't arrive and must not stop the timeout
+ * for releasing the read states. Runs a real process between stand-ins; the oracle judges.
  */
 public class UnconfirmedSendTest {
-    /** How the writers fall silent; their connections stay open, and nothing tells of it. */
+    /** How the writers become unresponsive; their connections stay open, and no error shows it. */
     private enum Silence {
-        /** The network takes what is sent, and delivers nothing. */
+        /** The network accepts bytes and delivers none. */
         CUT_OFF,
-        /** New connections come up as well, and nobody reads. */
+        /** New connections are established as well, but the server reads nothing. */
         DEAF
     }
 
@@ -31,7 +31,7 @@
     private static final int PATIENCE_MS = 5000;
     private static final int CLIENTS = 6;
     private static final int CLIENTS_BEFORE =
-            24; // so that each attempt behind the first one finds a kept connection too
+            24; // enough to leave a kept connection for every attempt, not only the first
     private static final long SLACK_MS = 150;
 
     @DataProvider
@@ -99,14 +99,14 @@
                     site,
                     RequestKind.SAFE,
                     CLIENTS_BEFORE,
-                    "before"); // connections to the writers are kept from here on
+                    "before"); // leaves kept connections to the writers
             long heldBefore = count(site, Observation.StateHeld.class);
             assertTrue(heldBefore >= CLIENTS_BEFORE, "reads: " + heldBefore);
             silence(site, how, true);
             askAtOnce(site, kind, CLIENTS, "silent");
             silence(site, how, false);
             assertEquals(count(site, Observation.Answered.class), CLIENTS_BEFORE + CLIENTS, "final answers");
-            assertTrue(count(site, Observation.StateHeld.class) >= heldBefore + CLIENTS, "reads that ended well");
+            assertTrue(count(site, Observation.StateHeld.class) >= heldBefore + CLIENTS, "completed reads");
             ConductorProcess conductor = site.conductors.get(0);
             ConductorProcess.signal(conductor.process(), "TERM");
             assertTrue(ConductorProcess.awaitEnd(conductor.process(), settings.killMs()), "ended before the kill");
