--- a/src/test/java/copperbeam/sockets/AttemptTimeTest.java
+++ b/src/test/java/copperbeam/sockets/AttemptTimeTest.java
@@ -29,10 +29,10 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** What an attempt tells its server of the time, and whether it may still leave at that time. */
+/** The remaining time that an attempt tells its server in X-Timeout, and what may no longer be sent when it is over. */
 public class AttemptTimeTest {
     private static final int CLIENT_MS = 9000;
-    private static final int MARGIN_MS = 20; // of the front
+    private static final int MARGIN_MS = 20; // the front subtracts it from the client's timeout for the response's way back
     private static final int LAPSE_MS = 300;
 
     private enum Waits {
@@ -45,12 +45,16 @@
         return new Object[][] {{Waits.FOR_A_CONNECTION}, {Waits.FOR_A_FAILED_ATTEMPT}};
     }
 
-    /** By the order of what happens alone: written after it was let on, asked for before it was seen here. */
+    /**
+     * The remaining time is taken when the attempt is sent, after a wait. The bound depends only on the order of events, not
+     * on the machine's speed: the request arrived before the test noticed it, and the attempt was sent after the test ended
+     * the wait.
+     */
     @Test(dataProvider = "waits")
     public void theTimeToldIsWhatIsLeftThen(Waits waits) throws Exception {
         boolean late = waits == Waits.FOR_A_CONNECTION;
         try (Site site = site("safe", 0)) {
-            AtomicLong on = new AtomicLong(); // when it was let on
+            AtomicLong on = new AtomicLong(); // when the test ended the wait (nanoTime)
             CountDownLatch met = new CountDownLatch(1);
             AtomicReference<String> told = new AtomicReference<>();
             AtomicBoolean failed = new AtomicBoolean();
@@ -70,7 +74,7 @@
             StandIn writer = new StandIn(Site::write);
             site.readers.add(reader);
             site.writers.add(writer);
-            Line[] others = new Line[late ? 2 : 0]; // they fill the kernel's queue
+            Line[] others = new Line[late ? 2 : 0]; // they fill the listener's accept queue
             for (int i = 0; i < others.length; i++) {
                 others[i] = new Line(reader.address());
             }
@@ -81,7 +85,7 @@
             try (Line client = site.client()) {
                 client.send(Site.request("ask", CLIENT_MS));
                 if (late) {
-                    await("taken", () -> OperatorsTest.metrics(site.node.door()).get("current") == 1);
+                    await("the request has arrived", () -> OperatorsTest.metrics(site.node.door()).get("current") == 1);
                 } else {
                     met.await();
                 }
@@ -99,7 +103,7 @@
         }
     }
 
-    /** The reactor is held from the call to the write: what is told is what is left then. */
+    /** The reactor's thread is blocked between the call and the write: X-Timeout is what remains at the write. */
     @Test
     public void theTimeToldIsThatOfTheWrite() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
@@ -123,7 +127,10 @@
         }
     }
 
-    /** The reactor is held as an answer ends and its connection is cut: what stands in the system's buffer is read first. */
+    /**
+     * The reactor's thread is blocked while an answer ends and its connection is to be closed: what the kernel has buffered
+     * of the answer is read before the close.
+     */
     @Test
     public void whatHasComeIsReadBeforeACut() throws Exception {
         CountDownLatch asked = new CountDownLatch(1);
@@ -154,11 +161,14 @@
             answered.await();
             cut.readOut(cut::close);
             go.countDown();
-            assertTrue(end.get(Line.PATIENCE_MS, TimeUnit.MILLISECONDS), "its end was there");
+            assertTrue(end.get(Line.PATIENCE_MS, TimeUnit.MILLISECONDS), "the end of the answer had arrived");
         }
     }
 
-    /** The head left long before the last byte may: its server would take what it was told then for what is left. */
+    /**
+     * The last byte is not sent if too much time has passed since the head: the server would take the outdated X-Timeout
+     * for the time that remains.
+     */
     @Test
     public void aHeadThatHasGrownOldIsNotFollowedByItsLastByte() throws Exception {
         for (int passedMs : new int[] {0, 200}) {
@@ -171,13 +181,16 @@
                     connection.let();
                 });
                 assertEquals(answered.get(Line.PATIENCE_MS, TimeUnit.MILLISECONDS), Boolean.valueOf(passedMs == 0));
-                await("its end", () -> passedMs == 0 || !server.lines.isEmpty() && server.lines.get(0).ended);
+                await("its connection is closed", () -> passedMs == 0 || !server.lines.isEmpty() && server.lines.get(0).ended);
                 assertEquals(server.attempts(), passedMs == 0 ? 1 : 0);
             }
         }
     }
 
-    /** More than the system of a server that reads nothing takes: the rest must not leave it once the attempt has ended. */
+    /**
+     * A body that is larger than the socket buffers towards a server that reads nothing: the rest must not be sent once the
+     * attempt has ended.
+     */
     @Test
     public void aBodyThatWaitsForRoomStaysOnceItsTimeIsOver() throws Exception {
         CountDownLatch answered = new CountDownLatch(1);
@@ -198,12 +211,15 @@
             answered.countDown();
             List<Line> lines = site.readers.get(0).lines;
             await("its server has read on", () -> !lines.isEmpty() && lines.get(0).ended);
-            assertTrue(read.stream().noneMatch(Line.Message::whole), "begun after its end");
+            assertTrue(read.stream().noneMatch(Line.Message::whole), "the whole body arrived after the attempt had ended");
         }
     }
 
-    /** A repeat of a keyed class is not written once its window is over, though it was ordered within it. */
-    @SuppressWarnings("try") // two connections only fill the queue of the server
+    /**
+     * In a keyed class, whose servers drop repeated requests only within a time window, a retry is not sent after the window,
+     * even if the module started it within the window.
+     */
+    @SuppressWarnings("try") // two connections only fill the server's accept queue
     @Test
     public void aKeyedRepeatIsNotWrittenAfterItsWindow() throws Exception {
         int windowMs = 1500;
@@ -231,11 +247,11 @@
                 go.countDown();
                 long over = first.get() + (windowMs + 1) * 1_000_000L;
                 while (System.nanoTime() < over) {
-                    Thread.sleep(10); // the window's time is what this waits for
+                    Thread.sleep(10); // waits until the window is over
                 }
                 late.open();
                 assertEquals(
-                        client.read().status(), 502); // it may have run, and a repeat would not be dropped any more
+                        client.read().status(), 502); // the first attempt may have run, and a repeat would now run too
                 await("its connection came up", () -> late.lines.size() == 3);
                 assertEquals(late.attempts(), 0);
             }
@@ -243,7 +259,7 @@
     }
 
     private static Site site(String effect, double windowS) throws Exception {
-        // nothing is called off for its silence, and what is held waits for its connection
+        // no attempt is cancelled for its silence, and a read state is held longer than its request waits for a connection
         String settings = String.format(Site.SETTINGS, "30")
                 .replace("\"cancel\":true", "\"cancel\":false")
                 .replace("\"release_s\":1", "\"release_s\":20")
@@ -285,7 +301,7 @@
         return up.get(Line.PATIENCE_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** {@code answered} runs on the reactor's thread. */
+    /** Sends an attempt; {@code onAnswer} runs on the reactor's thread. The result tells whether the answer was complete. */
     private static CompletableFuture<Boolean> call(
             Connector.Connection on, AtomicReference<Duration> left, Runnable answered) {
         return call(on, left, false, answered, () -> {});
--- a/src/test/java/copperbeam/sockets/BadClientsTest.java
+++ b/src/test/java/copperbeam/sockets/BadClientsTest.java
@@ -28,7 +28,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Clients that send what can't be read, too much, too little or too often. */
+/** Clients that send malformed requests, too much, too little or too many. */
 public class BadClientsTest {
     private static final String POST = "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nX-Request-ID: a\r\n"
             + "X-Priority-Class: ask\r\nX-Timeout: 4000m\r\nX-Attrs: prompt_len=4\r\n";
@@ -70,7 +70,7 @@
         return all.toArray(Object[][]::new);
     }
 
-    /** {@code status} -1: a close within 3 s, as the rest never comes. Nothing is passed on. */
+    /** {@code status} -1: the connection is closed within 3 s, as the rest of the request never comes. No server gets a request. */
     @Test(dataProvider = "unreadable")
     public void whatCantBeReadIsAnErrorAndAClose(String text, int status, boolean chat) throws Exception {
         try (Site site = new Site(1, 1);
@@ -106,7 +106,7 @@
         };
     }
 
-    /** Of the platform's headers: a contradiction, or an id that is another one in the path of a release. */
+    /** Platform headers that contradict each other, or a request id that would denote another one in the path of a release. */
     @Test(dataProvider = "untrue")
     public void headersThatCantBeTrueAreAnError(String good, String bad) throws Exception {
         try (Site site = new Site(1, 1);
@@ -120,7 +120,7 @@
         }
     }
 
-    /** Guards against a head that trickles: each byte alone is in time. */
+    /** Guards against a head that arrives byte by byte: no single byte is late, yet the head must be complete in time. */
     @Test
     public void aTrickledHeadIsCutOff() throws Exception {
         try (Site site = new Site(1, 1);
@@ -139,7 +139,7 @@
         }
     }
 
-    /** Servers know a request by its id alone: a second one would let go of the first one's state. */
+    /** Servers identify a request by its id alone: a second one with the same id would release the first one's read state. */
     @Test
     public void theIdOfAnOpenRequestIsAnErrorThatLeavesItAlone() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
@@ -157,10 +157,11 @@
             go.countDown();
             assertEquals(first.read().text(), Site.EVENTS);
             assertEquals(site.releases(), 0);
-            assertEquals(second.send(text).read().status(), 200); // it is free again
+            assertEquals(second.send(text).read().status(), 200); // the id is free again
         }
     }
 
+    /** Of a hundred pipelined requests eight are handled, the next gets a 503, and the connection is closed. */
     @Test
     public void aFloodOnOneConnectionIsBounded() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
@@ -178,7 +179,7 @@
                 all.append(request("f" + i, "ask", "5000m", "", "{}"));
             }
             flood.send(all.toString());
-            await("some read", () -> site.attempts(site.readers) == 8);
+            await("eight requests are read", () -> site.attempts(site.readers) == 8);
             assertEquals(
                     good.send(request("good", "ask", "5000m", "", "{}")).read().status(), 200);
             assertEquals(site.attempts(site.readers), 9);
@@ -191,7 +192,10 @@
         }
     }
 
-    /** Half a request is here as its connection's last answer goes out, and the rest comes in that instant. */
+    /**
+     * Half a request has arrived when the connection's last answer goes out, and the rest arrives at the same moment. It must not
+     * be handled, as it would get no answer.
+     */
     @Test
     public void whatComesBehindTheLastAnswerIsNotSentOn() throws Exception {
         List<String> heard = new CopyOnWriteArrayList<>();
@@ -225,7 +229,7 @@
                     Line holds = new Line(at);
                     Line last = new Line(at)) {
                 client.send("GET /first HTTP/1.1\r\nHost: x\r\n\r\nGET /second HTTP/1.1\r\nHo");
-                await("asked", () -> first.get() != null);
+                await("the first request is handled", () -> first.get() != null);
                 holds.send("GET /holds HTTP/1.1\r\nHost: x\r\n\r\n");
                 busy.await();
                 first.get().whole(200, "text/plain", Map.of(), new byte[0]);
@@ -243,7 +247,7 @@
         }
     }
 
-    /** Stands until it is moved on. */
+    /** Stands still until the test advances it. */
     private static final class Stands extends Clock {
         volatile Instant now = Instant.now();
 
@@ -294,7 +298,10 @@
         };
     }
 
-    /** What its client goes on writing is taken for a while: behind a reset it might not read its answer any more. */
+    /**
+     * After a rejection the server reads and discards further input for a while: closing at once would reset the connection, and
+     * the client might lose the answer.
+     */
     @Test(dataProvider = "turnedAway")
     public void whoIsTurnedAwayMayGoOnWriting(String text, int status, Until until) throws Exception {
         Stands clock = new Stands();
@@ -316,7 +323,7 @@
                     answer = client.read();
                 }
                 assertEquals(answer.status(), status);
-                assertNull(client.head()); // our side has ended, at once
+                assertNull(client.head()); // the server has closed its sending direction at once
                 clock.now = clock.now.plusMillis(300);
                 for (int i = 0; i < 4; i++) {
                     client.send("x".repeat(64 * 1024));
@@ -324,11 +331,11 @@
                             other.send("GET / HTTP/1.1\r\nHost: x\r\n\r\n")
                                     .read()
                                     .status(),
-                            200); // a turn
+                            200); // the reactor has completed a pass
                     assertNull(client.head());
                 }
                 assertEquals(room.size(), 2);
-                await("no stop waits for it", () -> !server.busy());
+                await("a stop does not wait for the rejected connection", () -> !server.busy());
                 if (until == Until.ITS_TIME) {
                     clock.now = clock.now.plusSeconds(1);
                 } else if (until == Until.A_DRAIN) {
@@ -339,7 +346,7 @@
                     assertThrows(IOException.class, () -> client.send("x".repeat(64 << 20)));
                 }
                 await("closed", () -> room.size() == 1);
-                await("its descriptor closed too, by the reactor's next select", () -> isReset(client));
+                await("its descriptor is closed by the reactor's next select", () -> isReset(client));
             }
         }
     }
@@ -353,7 +360,7 @@
         }
     }
 
-    /** What is given up behind an open request must not take that one's answer along. */
+    /** A half request that times out behind an open request must not cost the open one its answer. */
     @Test(dataProvider = "halves")
     public void halfARequestBehindAnOpenOneLeavesThatItsAnswer(String behind) throws Exception {
         Stands clock = new Stands();
@@ -375,10 +382,10 @@
             try (Line client = new Line(at);
                     Line other = new Line(at)) {
                 client.send("GET /first HTTP/1.1\r\nHost: x\r\n\r\n" + behind);
-                await("asked", () -> open.get() != null);
-                turn(other); // of the reactor: the half is timed behind the word to the front
+                await("the first request is handled", () -> open.get() != null);
+                turn(other); // the reactor starts the timeout of the half request after it has called the handler
                 clock.now = clock.now.plusSeconds(3);
-                client.send("x"); // has the reactor look at the times
+                client.send("x"); // makes the reactor check its timeouts
                 for (int i = 0; i < 3; i++) {
                     turn(other);
                 }
@@ -389,7 +396,7 @@
         }
     }
 
-    /** What the one reactor had begun before is over when it has answered this. */
+    /** Awaits a pass of the single reactor thread: what it had begun before is done once it has answered this request. */
     private static void turn(Line other) throws Exception {
         assertEquals(other.send("GET / HTTP/1.1\r\nHost: x\r\n\r\n").read().status(), 200);
     }
@@ -414,7 +421,7 @@
         };
     }
 
-    /** Answers come in order, the open request's first, whatever is wrong behind it. */
+    /** Answers come in order: first the open request's, then the error for the malformed request behind it. */
     @Test(dataProvider = "unreadableBehind")
     public void whatCantBeReadBehindAnOpenRequestLeavesThatItsAnswer(String behind, int status) throws Exception {
         CountDownLatch go = new CountDownLatch(1);
@@ -427,7 +434,7 @@
             client.send(request("send", 5000));
             await("written", () -> site.attempts(site.writers) == 1);
             client.send(behind);
-            assertEquals(site.get("/healthz").status(), 200); // a turn
+            assertEquals(site.get("/healthz").status(), 200); // the reactor has completed a pass
             assertEquals(site.get("/healthz").status(), 200);
             go.countDown();
             assertEquals(client.read().text(), Site.EVENTS);
@@ -437,7 +444,7 @@
         }
     }
 
-    /** Some clients end a body with an empty line that its length does not count. */
+    /** Some clients end a body with an empty line that the Content-Length does not count. */
     @Test
     public void anEmptyLineBehindABodyIsNoRequest() throws Exception {
         Stands clock = new Stands();
@@ -459,7 +466,7 @@
         }
     }
 
-    /** The request comes while the reactor is at another, which then looks at the time before it looks at bytes. */
+    /** The request arrives while the reactor is busy with another, after which it checks timeouts before it reads input. */
     @Test
     public void whoSpeaksAsItsTimeIsUpIsHeard() throws Exception {
         Stands clock = new Stands();
@@ -485,19 +492,19 @@
             InetSocketAddress at = server.listen(new InetSocketAddress("127.0.0.1", 0), false);
             try (Line holds = new Line(at);
                     Line silent = new Line(at)) {
-                await("both are in", () -> room.size() == 2);
+                await("both connections are accepted", () -> room.size() == 2);
                 holds.send("GET /holds HTTP/1.1\r\nHost: x\r\n\r\n");
                 busy.await();
                 silent.send("GET / HTTP/1.1\r\nHost: x\r\n\r\n");
                 clock.now = clock.now.plusSeconds(3);
-                Thread.sleep(500); // the reactor looks at the times only so long after the last look
+                Thread.sleep(500); // the interval between two timeout checks of the reactor
                 go.countDown();
                 assertEquals(silent.read().status(), 200);
             }
         }
     }
 
-    /** A fault of ours is told, and costs no other request its connection. */
+    /** A fault in the handler is answered with 500, and other connections are not affected. */
     @Test
     public void aFrontThatFailsIsAnAnswer() throws Exception {
         try (HttpFrontServer server = new HttpFrontServer(
@@ -516,7 +523,7 @@
         }
     }
 
-    /** Guards the memory: many large requests that wait at once. */
+    /** Guards the memory against many large requests that wait at the same time. */
     @Test
     public void bodiesThatWaitAreBounded() throws Exception {
         ClientRoom room = new ClientRoom(10, 1000);
@@ -534,23 +541,23 @@
             try (Line second = new Line(at)) {
                 try (Line first = new Line(at)) {
                     first.send(Site.post("x".repeat(900)));
-                    await("held", () -> room.bytes() == 900);
+                    await("the first body is counted", () -> room.bytes() == 900);
                     Line.Message refused =
                             second.send(Site.post("x".repeat(200))).read();
                     assertEquals(refused.status(), 503);
                     assertEquals(refused.header("Retry-After"), "1");
                     assertTrue(second.awaitClosed());
                 }
-                await("let go", () -> room.bytes() == 0);
+                await("its bytes are freed", () -> room.bytes() == 0);
                 try (Line third = new Line(at)) {
                     assertEquals(third.send(Site.post("x".repeat(200))).read().status(), 200);
                 }
             }
-            await("left", () -> room.size() == 0 && room.bytes() == 0);
+            await("all connections have left", () -> room.size() == 0 && room.bytes() == 0);
         }
     }
 
-    /** HttpCore tells nobody of a connection that a reset ended; such were once counted for good. */
+    /** HttpCore reports no end for a connection that was reset. Guards against counting such connections as open forever. */
     @Test
     public void resetClientsTakeNoRoom() throws Exception {
         ClientRoom room = new ClientRoom(500, 1 << 20);
@@ -566,7 +573,7 @@
         }
     }
 
-    /** In a crowd of connections that ask once and stay, and of others that never finish a request, true ones are served. */
+    /** Requests are served among many connections that ask once and stay open, and others that never finish a request. */
     @Test
     public void aCrowdLeavesRoomForTrueRequests() throws Exception {
         try (Site site = new Site(1, 1, new copperbeam.program.Config.Limits(192, 256))) {
@@ -593,7 +600,7 @@
         }
     }
 
-    /** Clients that stay or say nothing must not keep others out, with either front. */
+    /** Clients that stay connected or send nothing must not keep others out, at either front. */
     @Test
     public void thoseWhoSayNothingMakeRoomForOthers() throws Exception {
         try (Site site = new Site(1, 1, new Config.Limits(64, 256))) {
--- a/src/test/java/copperbeam/sockets/BadDiscoveryTest.java
+++ b/src/test/java/copperbeam/sockets/BadDiscoveryTest.java
@@ -33,19 +33,22 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** A watch whose discovery answers what is no answer, or whose machine takes no connection for a while. */
+/** A server-list watch whose discovery service sends invalid answers, or accepts no connections for a while. */
 public class BadDiscoveryTest {
     private static final String A =
             "{\"id\":\"a\",\"addr\":\"127.0.0.1:1\",\"zone\":\"z\",\"kind\":\"k\",\"state\":\"%s\"}";
     private static final String B =
             "{\"id\":\"b\",\"addr\":\"127.0.0.1:2\",\"zone\":\"z\",\"kind\":\"k\",\"state\":\"active\"}";
 
-    /** Ms from when discovery can be reached; the second of a pushed list and one more for a busy core. */
+    /**
+     * Longest time in ms from when discovery answers correctly until the watch applies its list. A pushed list has one
+     * second, and one more for a busy machine.
+     */
     private static long most(boolean pushed) {
         return pushed ? 2000 : 5000;
     }
 
-    /** The list at 127.0.0.1, and what the watch tells of it. */
+    /** A running watch with the entries that it reported and the messages that it logged. */
     private static final class Watched implements AutoCloseable {
         final ScheduledExecutorService turns = Executors.newSingleThreadScheduledExecutor();
         final ClientReactor reactor = new ClientReactor();
@@ -103,8 +106,8 @@
     }
 
     /**
-     * One spoilt answer after another, some with a good beginning, then the good one. Guards against half a list that is
-     * taken, against a body that takes all memory, and against a backoff that grows beyond the clock.
+     * A series of invalid answers, some with a valid beginning, then a valid one. Guards against applying a part of a list,
+     * against a body that uses up the memory, and against a backoff that grows too long to learn of a drain in time.
      */
     @Test(dataProvider = "modes")
     public void spoiltAnswersChangeNothingAndDelayNoDrain(boolean pushed) throws Exception {
@@ -150,11 +153,11 @@
             try (Watched w = new Watched(agent.address(), pushed)) {
                 long until = System.nanoTime() + 40_000_000_000L;
                 while (!w.drains()) {
-                    assertTrue(System.nanoTime() < until, "never, " + w.log);
+                    assertTrue(System.nanoTime() < until, "no drain within 40 s; logged: " + w.log);
                     Thread.sleep(5);
                 }
                 long ms = (System.nanoTime() - last.get(spoilt.size() - 1)) / 1_000_000;
-                assertTrue(ms < most(pushed), ms + " ms after the last spoilt answer");
+                assertTrue(ms < most(pushed), ms + " ms after the last invalid answer");
                 assertEquals(
                         w.heard.stream()
                                 .map(e -> e.member().server() + e.member().state())
@@ -175,7 +178,10 @@
         }
     }
 
-    /** Answers that are none, with a list all the same; after 1xx comes nothing more. */
+    /**
+     * Statuses that are no valid answer, with a list in the body where the status allows one. After a 1xx no final response
+     * follows.
+     */
     @DataProvider
     public Object[][] statuses() {
         return Stream.of(101, 103, 201, 204, 206, 301, 302, 304, 307, 308)
@@ -183,7 +189,10 @@
                 .toArray(Object[][]::new);
     }
 
-    /** No answer but 200 is one, and no Location is followed: logged, nothing changes, and the call is made anew. */
+    /**
+     * Any status but 200 is a failed call, and no Location is followed: the failure is logged, the list stays as it is, and
+     * the call is repeated.
+     */
     @Test(dataProvider = "statuses")
     public void anotherStatusIsAFailedCall(int status, boolean pushed) throws Exception {
         String body = list(8, true, B);
@@ -222,9 +231,9 @@
         }
     }
 
-    /** What a new address does until it is good. */
+    /** Faults of a new address until it becomes healthy, by their name. */
     private static final Map<String, StandIn.Script> TROUBLES = Map.of(
-            "garbles",
+            "sends garbage",
             (m, line) -> line.send("HTTP/9 what\r\n\r\n"),
             "closes",
             (m, line) -> line.close(),
@@ -232,14 +241,14 @@
             (m, line) -> line.read(),
             "has no such path",
             (m, line) -> line.answer(404, "no"),
-            "answers by half",
+            "sends half an answer",
             (m, line) -> line.send("HTTP/1.1 200 OK\r\nContent-Length: 1000\r\n\r\n{\"version\":9")
                     .read(),
-            "has other lists",
+            "lists an invalid server",
             (m, line) -> line.answer(200, list(99, true, B + ",{\"id\":\"c\"}")),
-            "tells changes",
+            "sends only changes",
             (m, line) -> line.answer(200, list(99, false, B)),
-            "has heard of nobody",
+            "lists no servers",
             (m, line) -> line.answer(200, list(1, true, "")));
 
     @DataProvider
@@ -250,8 +259,8 @@
     }
 
     /**
-     * A move to an address in trouble, with a further move there and back: nothing changes, the old one is listened to,
-     * and the new one's word counts once it is good.
+     * The watch moves to a faulty address, back and there again: no server changes, the old address is still watched, and
+     * the new one's list is applied as soon as it is valid.
      */
     @Test(dataProvider = "moves")
     public void anAddressInTroubleChangesNothing(String trouble, boolean pushed) throws Exception {
@@ -281,11 +290,11 @@
                 }
             };
             try (Watched w = new Watched(old.address(), pushed)) {
-                await("listed", () -> w.heard.size() == 2);
+                await("both servers are listed", () -> w.heard.size() == 2);
                 w.watch.move(next.address());
                 w.watch.move(old.address());
                 w.watch.move(next.address());
-                await("in trouble", () -> next.seen.size() >= 2);
+                await("the new address was called twice", () -> next.seen.size() >= 2);
                 drains.set(true);
                 await("the old address's drain", w::drains);
                 assertTrue(
@@ -296,7 +305,7 @@
                 good.set(true);
                 long from = System.nanoTime();
                 await(
-                        "the new one's",
+                        "the drain from the new address",
                         () -> w.heard.stream()
                                 .anyMatch(e -> e.member().server().equals("b")
                                         && e.member().state() == ServerState.DRAINING));
@@ -307,7 +316,10 @@
         }
     }
 
-    /** Guards against a core that is spent on asking, and against a watch that is new each time. */
+    /**
+     * Guards against calls in a busy loop, and against watches that each begin anew with a delay: at least half of the calls
+     * must follow within 200 ms.
+     */
     @Test(dataProvider = "modes")
     public void anAgentThatAnswersAtOnceIsAskedAtAPace(boolean pushed) throws Exception {
         List<Long> gaps = new CopyOnWriteArrayList<>();
@@ -330,21 +342,24 @@
                 await("some calls", () -> gaps.size() >= 10);
                 long ms = (System.nanoTime() - from) / 1_000_000;
                 assertTrue(gaps.size() <= ms / 100 + 2, gaps.size() + " calls in " + ms + " ms");
-                assertTrue(gaps.stream().filter(g -> g < 200).count() >= gaps.size() / 2, "watches continue: " + gaps);
+                assertTrue(gaps.stream().filter(g -> g < 200).count() >= gaps.size() / 2, "watches begin anew: " + gaps);
                 drains.set(true);
                 await("the drain", w::drains);
             }
         }
     }
 
-    /** No SYN is answered while the backlog of a listener that takes nobody is full. */
+    /**
+     * Connects that time out don't delay a drain. The kernel answers no SYN while the accept queue of a listener that
+     * accepts nothing is full.
+     */
     @Test(dataProvider = "modes")
     public void connectionsThatDoNotComeUpDelayNoDrain(boolean pushed) throws Exception {
         InetAddress here = InetAddress.getByName("127.0.0.1");
         List<Socket> full = new ArrayList<>();
         try (ServerSocket closed = new ServerSocket(0, 8, here);
                 Watched w = hung(closed, full, pushed)) {
-            await("found out", () -> w.log.stream().anyMatch(l -> l.contains("no connection")));
+            await("the failed connect is logged", () -> w.log.stream().anyMatch(l -> l.contains("no connection")));
             for (Socket s : full) {
                 closed.accept().close();
             }
@@ -365,14 +380,14 @@
                                     Thread.sleep(200);
                                 }
                             } catch (Exception e) {
-                                // the other side has ended it
+                                // the client closed the connection
                             }
                         });
                         one.setDaemon(true);
                         one.start();
                     }
                 } catch (java.io.IOException e) {
-                    // closed
+                    // the listener was closed
                 }
             });
             accepts.setDaemon(true);
--- a/src/test/java/copperbeam/sockets/ClientGoneTest.java
+++ b/src/test/java/copperbeam/sockets/ClientGoneTest.java
@@ -24,23 +24,26 @@
 import org.testng.annotations.Test;
 
 /**
- * What waits anywhere when its client goes is never begun, by the servers' own records. What it waits for comes only
- * after the client has gone and the conductor has seen it, so that one attempt is one too many. That it has seen it is
- * told in turns and not in time, so that a busy core gives the same verdict: what came behind the close to the reactor and
- * to the module was answered, and a turn takes neither a tenth of a second.
+ * A request that is waiting when its client leaves is never sent to a server, according to the servers' own records. What
+ * it waits for becomes available only after the conductor has noticed that the client left, so that even one attempt is an
+ * error.
+ *
+ * <p>That the conductor has noticed is established by the order of events and not by a delay, so that a busy machine gives the
+ * same verdict: requests that reached the reactor and the module after the close have been answered. A turn of either takes
+ * less than a tenth of a second.
  */
 public class ClientGoneTest {
-    private static final long KNOWN_NS = 1_000_000_000L; // in any case; short of any time-out
-    // of the reactor: HttpCore reads a close in one and acts on it in the next, where another connection's bytes may
-    // come up first
+    private static final long KNOWN_NS = 1_000_000_000L; // limit for noticing the close; shorter than every timeout
+    // turns of the reactor: HttpCore reads a close in one turn and acts on it in the next, in which another connection's
+    // bytes may be handled first
     private static final int TURNS = 2;
     private static final int MANY = 300;
     private static final String MORE = Site.request("more", "ask", "5000m", "prompt_len=9", "{\"a\":\"gone\"}");
     private static final String HEALTH = "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n";
-    private static final int READ = 4096; // of a connection a turn
+    private static final int READ = 4096; // what a turn of the reactor reads from one connection
     private static final String LARGE = "\",\"b\":\"" + "x".repeat(240 * 1024);
 
-    /** Where the request waits as its client goes; {@code cancel}: the settings allow to give up attempts. */
+    /** What the request waits for when its client leaves. */
     private enum Waits {
         FOR_A_SERVER,
         FOR_A_CONNECTION,
@@ -83,7 +86,7 @@
         },
     };
 
-    /** Holds each request with the word in it until it is let go. */
+    /** A plug-in that blocks each request until the test opens it. */
     private static final class Gate implements RequestHook {
         final AtomicBoolean entered = new AtomicBoolean();
         final CountDownLatch open = new CountDownLatch(1);
@@ -107,9 +110,10 @@
         for (boolean chat : new boolean[] {false, true}) {
             for (Waits waits : Waits.values()) {
                 for (boolean cancel : new boolean[] {true, false}) {
-                    // what the system has taken can only be ended where that is allowed
+                    // bytes in the kernel's send buffer can be discarded only where the settings allow cancels
                     if (cancel || waits != Waits.FOR_ITS_BODY_TO_LEAVE) {
-                        // the module knows nothing of what is at a plug-in, but the conductor's own close can be seen
+                        // the module doesn't know requests that are at a plug-in; instead the client stays open for reading
+                        // and sees that the conductor closes the connection
                         rows.add(new Object[] {
                             chat,
                             waits,
@@ -145,7 +149,7 @@
             CountDownLatch served = new CountDownLatch(1);
             CountDownLatch met = new CountDownLatch(1);
             CountDownLatch letGo =
-                    new CountDownLatch(2); // heads: of the read, and of what lets go of it once it is cut
+                    new CountDownLatch(2); // received heads: the read's, and after its cancellation the release's
             StandIn.Script reads = attempts((m, line) -> {
                 met.countDown();
                 served.await();
@@ -158,7 +162,7 @@
             site.writers.add(writer);
             List<Line> others = new ArrayList<>();
             for (int i = 0; late && i < 2; i++) {
-                others.add(new Line(reader.address())); // they fill the kernel's queue
+                others.add(new Line(reader.address())); // they fill the listener's accept queue
             }
             if (waits == Waits.FOR_ITS_BODY_TO_LEAVE) {
                 reader.opening = line -> {
@@ -187,9 +191,9 @@
             if (waits == Waits.FOR_ITS_READ || waits == Waits.FOR_ITS_BODY_TO_LEAVE) {
                 met.await();
             } else if (waits == Waits.FOR_A_PLUGIN) {
-                await("at the plug-in", gate.entered::get);
+                await("the request is at the plug-in", gate.entered::get);
             } else {
-                await("taken", () -> open(site) > 0);
+                await("the request is open", () -> open(site) > 0);
             }
             long from = System.nanoTime();
             going.go(client);
@@ -197,23 +201,23 @@
                     + (how.startsWith("hundreds") ? MANY * (MORE.length() + 3) / READ : 0)
                     + (how.startsWith("half a head")
                             ? 1
-                            : 0); // HttpCore looks at a close behind one a turn after its read
+                            : 0); // HttpCore handles a close after half a head one turn later
             for (int i = 0; i < turns; i++) {
-                // of the reactor that reads this client: each front has its own, and another's turns tell nothing of it
+                // through the client's own front: each front has a reactor, and turns of another one prove nothing
                 assertEquals(status(chat ? site.chatClient() : site.client(), HEALTH), 200);
             }
             if (waits == Waits.FOR_A_PLUGIN) {
-                assertTrue(client.isClosed(), how + ": not seen");
+                assertTrue(client.isClosed(), how + ": close not noticed");
             } else {
-                // over as it comes; through the module behind word of the close, from whichever front that came
+                // expired on arrival; it reaches the module after the notice of the close, whichever front that came from
                 assertTrue(status(site.client(), Site.request("over", "ask", "1u", "", "{}")) != 200);
             }
-            assertEquals(open(site), 0, waits + ", " + how + ": not seen");
+            assertEquals(open(site), 0, waits + ", " + how + ": close not noticed");
             long left = KNOWN_NS - (System.nanoTime() - from);
-            // the module knows it before its reader's connection is reset, on other threads
+            // the module learns of the close before the reader's connection is reset, which other threads do
             assertTrue(
                     left > 0 && (waits != Waits.FOR_ITS_BODY_TO_LEAVE || letGo.await(left, TimeUnit.NANOSECONDS)),
-                    waits + ", " + how + ": known late");
+                    waits + ", " + how + ": close noticed late");
             long before = begun(reader, "gone") + begun(writer, "gone");
             served.countDown();
             gate.open.countDown();
@@ -224,17 +228,20 @@
                 site.changes.add(list);
             }
             reader.opening = line -> {};
-            // the same id again: it is free, and all that came before it has had its turn
+            // the same id is accepted again only after its first request was removed and everything before was handled
             await("the id is free", () -> asked(site) == 200);
             await("nothing is open", () -> open(site) == 0);
             assertEquals(begun(reader, "gone") + begun(writer, "gone"), before, waits + ", " + how);
             if (before > 0) {
-                await("let go", () -> released(reader) + released(writer) > 0);
+                await("the read state is released", () -> released(reader) + released(writer) > 0);
             }
         }
     }
 
-    /** Both are there before the reactor looks: a request is not even begun where its client has closed behind it. */
+    /**
+     * A request and the close of its connection have both arrived before the reactor reads them: the request is not passed
+     * on to the handler.
+     */
     @Test
     public void aRequestWithItsCloseIsNotBegun() throws Exception {
         CountDownLatch busy = new CountDownLatch(1);
@@ -247,7 +254,7 @@
                     if (call.path().equals("/first")) {
                         busy.countDown();
                         try {
-                            go.await(); // the reactor does nothing else meanwhile
+                            go.await(); // blocks the reactor's thread
                         } catch (InterruptedException e) {
                             throw new AssertionError(e);
                         }
@@ -272,8 +279,8 @@
                         .close();
                 last.send("GET /last HTTP/1.1\r\nHost: x\r\n\r\n");
                 go.countDown();
-                await("the last is heard", () -> heard.contains("/last"));
-                await("the others have left", () -> room.size() == 2);
+                await("the last request is handled", () -> heard.contains("/last"));
+                await("the other connections are closed", () -> room.size() == 2);
                 assertEquals(heard, List.of("/first", "/last"));
             }
         }
@@ -297,7 +304,7 @@
         return OperatorsTest.metrics(site.node.door()).get("current");
     }
 
-    /** All but the one that was over as it came. */
+    /** Counts releases, except that of the request that was expired on arrival. */
     private static long released(StandIn at) {
         return at.count(m -> m.method().equals("DELETE") && !m.path().endsWith("/over"));
     }
--- a/src/test/java/copperbeam/sockets/Conductor.java
+++ b/src/test/java/copperbeam/sockets/Conductor.java
@@ -17,30 +17,33 @@
 import java.util.logging.Logger;
 import java.util.stream.Stream;
 
-/** One process of a conductor as `run` starts it: discovery in its file, an older word on it in the environment. */
+/**
+ * One conductor process, started through a shell as the {@code run} line of deploy/balancer.toml does. The config file holds
+ * the current discovery address; the environment variable GW_DISCOVERY keeps the one from the start.
+ */
 final class Conductor implements AutoCloseable {
     private static final Logger LOG = Logger.getLogger(Conductor.class.getName());
     static final String NAME = "n0";
-    private static final int TICKS_PER_S = 100; // of /proc/PID/stat on Linux
-    static final int START_MS = 30_000; // which the platform lets a start take; a busy core gives it a tenth
+    private static final int TICKS_PER_S = 100; // unit of the CPU times in /proc/PID/stat on Linux
+    static final int START_MS = 30_000; // the platform's limit for a start; on a busy core a process gets a tenth of the CPU
 
-    final Path folder; // also where its processes share what they know
+    final Path folder; // also holds the state file that the processes of this conductor share
     final Path log;
     final InetSocketAddress address;
-    final InetSocketAddress door; // null where operators have none
+    final InetSocketAddress door; // null: no admin server
     final Process process;
-    private final BinaryOperator<String> file; // its text, by the addresses of clients and of discovery
+    private final BinaryOperator<String> file; // config text for a listen address and a discovery address
 
     Conductor(StandIn discovery, int sockets, int memoryMb) throws IOException {
         this(discovery, sockets, memoryMb, List.of());
     }
 
-    /** {@code more}: of the command line, options of the JVM and of {@code serve}. */
+    /** {@code extraArguments}: JVM options (those that begin with -X) and arguments of {@code serve}. */
     Conductor(StandIn discovery, int sockets, int memoryMb, List<String> more) throws IOException {
         this(discovery, sockets, memoryMb, more, ":");
     }
 
-    /** {@code shell}: run by the shell before the conductor takes its place. */
+    /** {@code shellPrelude}: a command that the shell runs before it replaces itself with the conductor (exec). */
     Conductor(StandIn discovery, int sockets, int memoryMb, List<String> more, String shell) throws IOException {
         this(
                 discovery,
@@ -54,7 +57,7 @@
                 fileOf(sockets, memoryMb, s -> s));
     }
 
-    /** {@code settings}: makes its own of the usual ones. */
+    /** {@code settings}: turns the default settings text into the one to use. */
     Conductor(StandIn discovery, UnaryOperator<String> settings) throws IOException {
         this(
                 discovery,
@@ -68,7 +71,7 @@
                 fileOf(1024, 192, settings));
     }
 
-    /** The first process of a conductor with a door. */
+    /** The first process of a conductor, with an admin address. */
     Conductor(StandIn discovery, Path folder, String... more) throws IOException {
         this(
                 discovery,
@@ -82,7 +85,7 @@
                 fileOf(1024, 192, Conductor::patient));
     }
 
-    /** A further process of the same conductor, with a door of its own. */
+    /** A further process of the same conductor, with an admin address of its own. */
     Conductor(StandIn discovery, Conductor earlier, String... more) throws IOException {
         this(
                 discovery,
@@ -96,7 +99,7 @@
                 fileOf(1024, 192, Conductor::patient));
     }
 
-    /** With a door and a file of its own; {@code file}: its text, by the addresses of clients and of discovery. */
+    /** With an admin address; {@code configText} makes the config text from the listen address and the discovery address. */
     Conductor(StandIn discovery, BinaryOperator<String> file, List<String> more) throws IOException {
         this(
                 discovery,
@@ -150,8 +153,8 @@
     }
 
     /**
-     * Free until the process binds it, as the system gives the ports from 32768 on (16384 where it is set so) to the thousands of
-     * connections that tests make: one of these would else get it meanwhile.
+     * An address that stays free until the process binds it. Its port lies below the ephemeral range (from 32768 on, or 16384 on
+     * some machines): the tests open thousands of connections, and one of these could otherwise get the port in the meantime.
      */
     static InetSocketAddress freeAddress() throws IOException {
         InetAddress local = InetAddress.getByName("127.0.0.1");
@@ -160,12 +163,12 @@
             try (ServerSocket socket = new ServerSocket(port, 1, local)) {
                 return (InetSocketAddress) socket.getLocalSocketAddress();
             } catch (BindException e) {
-                LOG.fine(() -> "taken: " + port);
+                LOG.fine(() -> "port in use: " + port);
             }
         }
     }
 
-    /** Replaces the file whole, as operators do. */
+    /** Replaces the config file atomically, as operators do. */
     void configure(String discovery) throws IOException {
         replaceFile(file.apply("127.0.0.1:" + address.getPort(), discovery));
     }
@@ -182,7 +185,10 @@
         Files.move(next, folder.resolve("config.json"), java.nio.file.StandardCopyOption.REPLACE_EXISTING);
     }
 
-    /** A conductor with a door, as in upgrades, has no late answers on a busy machine: the module refuses a part of those. */
+    /**
+     * Raises the promised answer times to 60 s: on a busy machine answers would otherwise miss them, and the module then refuses
+     * part of the requests.
+     */
     private static String patient(String settings) {
         return settings.replaceAll("\"promise_s\":[0-9.]+", "\"promise_s\":60");
     }
@@ -201,7 +207,7 @@
         }
     }
 
-    /** What it says at its door; nothing where nobody is there. */
+    /** The answer to an operator's call at the admin address; empty if the connection fails. */
     String call(String line) {
         try {
             return OperatorsTest.call(door, line);
@@ -220,7 +226,7 @@
             Site.await("ready", START_MS, this::ready);
         } catch (AssertionError e) {
             throw new AssertionError(
-                    e.getMessage() + (process.isAlive() ? ", and it lives: " : ", it ended: ") + logged(), e);
+                    e.getMessage() + (process.isAlive() ? ", and the process is alive: " : ", and the process has ended: ") + logged(), e);
         }
         return this;
     }
@@ -233,14 +239,14 @@
         return cpuMs(process);
     }
 
-    /** All threads and the system's part included. */
+    /** CPU time of all threads so far, user and system, in ms. */
     static long cpuMs(Process process) throws IOException {
         String stat = Files.readString(Path.of("/proc", Long.toString(process.pid()), "stat"));
         String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
         return (Long.parseLong(fields[11]) + Long.parseLong(fields[12])) * 1000 / TICKS_PER_S;
     }
 
-    /** How many processes listen at the clients' address, as the system has it. */
+    /** The number of sockets that listen at the clients' address, from the kernel's TCP tables. */
     int listeners() {
         String listens = String.format(".* (0000000000000000FFFF0000)?0100007F:%04X [0:]+ 0A .*", address.getPort());
         return Stream.of("/proc/net/tcp", "/proc/net/tcp6")
@@ -275,7 +281,7 @@
         process.destroyForcibly();
     }
 
-    /** The whole list at once, and after that no change. */
+    /** A discovery service that answers with the full server list at once and reports no change after that. */
     static StandIn discovery(StandIn reader, StandIn... writers) throws IOException {
         StringBuilder entries = new StringBuilder(Site.entry(reader, "prefill", "active"));
         for (StandIn writer : writers) {
--- a/src/test/java/copperbeam/sockets/ConnectTimeTest.java
+++ b/src/test/java/copperbeam/sockets/ConnectTimeTest.java
@@ -16,7 +16,7 @@
 import java.util.concurrent.TimeUnit;
 import org.testng.annotations.Test;
 
-/** A transport that is late to say that a connection does not come up holds nothing up. */
+/** A transport that reports a failed connect late or never delays nothing: the peer enforces the connect timeout itself. */
 public class ConnectTimeTest {
     @Test
     public void aConnectionHasItsTimeAndNoMore() throws Exception {
--- a/src/test/java/copperbeam/sockets/CostProbe.java
+++ b/src/test/java/copperbeam/sockets/CostProbe.java
@@ -12,12 +12,13 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * No test: what a request costs a conductor in CPU, against stand-ins that answer at once, in a process of its own.
+ * Not a test: measures the CPU time per request of a conductor in its own process, with stand-ins that answer at once.
  *
  * <pre>java -cp target/test-classes:target/classes:... copperbeam.sockets.CostProbe RATE SECONDS [JVM OPTION ...]</pre>
  *
- * Prints CPU milliseconds a request for each span of five seconds; the first spans hold the start. Options that begin
- * with {@code -X} go to the conductor's JVM, as {@code -XX:StartFlightRecording=filename=FILE} for a profile.
+ * Prints the CPU milliseconds per request for each interval of five seconds; the first intervals include the start-up.
+ * Options that begin with {@code -X} go to the conductor's JVM, for example
+ * {@code -XX:StartFlightRecording=filename=FILE} for a profile.
  */
 public final class CostProbe {
     private static final int SERVERS = 6;
--- a/src/test/java/copperbeam/sockets/DelayedHeadTest.java
+++ b/src/test/java/copperbeam/sockets/DelayedHeadTest.java
@@ -31,7 +31,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The reactor is held from when an attempt is handed to it until its head may leave. */
+/** The reactor's thread is blocked between the hand-over of an attempt and the write of its head, while something changes. */
 public class DelayedHeadTest {
     private static final Duration MINUTE = Duration.ofMinutes(1);
 
@@ -42,7 +42,7 @@
         THE_SERVER_DRAINS,
         THE_SERVER_LEAVES,
         TIME_PASSES,
-        /** The list stood unread on the same reactor: it is known only once that goes on. */
+        /** The list's update waits unread on the same reactor, so that the drain becomes known only after it goes on. */
         TIME_PASSES_AND_IT_DRAINS
     }
 
@@ -57,7 +57,7 @@
         };
     }
 
-    // guards against a request at a server that has long been known to drain: it was chosen before and written after
+    // guards against a request that is sent to a server known to drain, because the server was chosen before it drained
     @Test(dataProvider = "cases")
     public void aHeadLeavesWhereItsServerMayStillBeSentTo(Meanwhile meanwhile, int connections, int attempts)
             throws Exception {
@@ -97,7 +97,7 @@
             peer.set(peer(turns, clock(now), held, server.address()));
             peer.get().tell(send());
             up.await();
-            turns.submit(() -> {}).get(); // the attempt is the reactor's by now
+            turns.submit(() -> {}).get(); // by now the attempt was handed to the reactor
             switch (meanwhile) {
                 case THE_SERVER_DRAINS -> peer.get().tell(new PeerActor.Listed(true));
                 case THE_SERVER_LEAVES -> peer.get().tell(new PeerActor.Gone());
--- a/src/test/java/copperbeam/sockets/EndTest.java
+++ b/src/test/java/copperbeam/sockets/EndTest.java
@@ -23,9 +23,12 @@
 import java.util.concurrent.CountDownLatch;
 import org.testng.annotations.Test;
 
-/** The very end of a stop, at which a request that comes must not be lost. */
+/** The last moments of a stop, in which an arriving request must not be lost. */
 public class EndTest {
-    /** Guards against an end under a client that was answered last and asks again: its answer's head promised more. */
+    /**
+     * Guards against an exit while the client that was answered last sends another request: the head of its answer did not
+     * announce the close.
+     */
     @Test
     public void aStopIsOverOnceEachConnectionIsClosed() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
@@ -49,7 +52,10 @@
         }
     }
 
-    /** Guards against a front that stays away for good: asked again as the other front could not listen yet, it said no. */
+    /**
+     * Guards against a front that never listens again: while the other front cannot listen yet, both are asked repeatedly, and the
+     * one that already listens must say yes each time.
+     */
     @Test
     public void aFrontThatListensAgainSaysSoEachTime() throws Exception {
         try (HttpFrontServer server = new HttpFrontServer(
@@ -59,12 +65,12 @@
                 (requestClass, status) -> {})) {
             server.listen(new InetSocketAddress("127.0.0.1", 0), true);
             server.stopListening();
-            await("again", server::listenAgain);
+            await("listening again", server::listenAgain);
             assertTrue(server.listenAgain());
         }
     }
 
-    /** Where no class has a deadline above 1.5 s, the platform may kill 2.2 s after SIGTERM, and a stream would be lost. */
+    /** If no class has a deadline above 1.5 s, the platform may kill 2.2 s after SIGTERM; an open stream would then be lost. */
     @Test
     public void aStreamIsCutBeforeAKillThatShortDeadlinesBringSooner() throws Exception {
         CountDownLatch never = new CountDownLatch(1);
@@ -94,14 +100,17 @@
                     }
                 });
                 stop.start();
-                assertEquals(client.readChunk(), "", "cut, so that its client goes on elsewhere");
+                assertEquals(client.readChunk(), "", "cut, so that its client resumes elsewhere");
                 assertTrue(Duration.between(stopped, Instant.now()).toMillis() < 2200, "before the kill");
                 stop.join(Line.PATIENCE_MS);
             }
         }
     }
 
-    /** A stream that can't be cut may outlast the stop; the kill counts what came 0.7 s after SIGTERM or later. */
+    /**
+     * A stream that cannot be resumed may last until the kill, but the kill must not cut a request that arrives 0.7 s after SIGTERM
+     * or later. Such a request is therefore refused instead of sent to a server.
+     */
     @Test
     public void nothingIsSentOnLateInAStopWhereStreamsCantResume() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
@@ -124,8 +133,8 @@
             client.send(request("ask", 8000)).head();
             Thread stop = site.beginStop();
             assertTrue(idle.awaitClosed()); // 0.8 s after the stop began
-            client.send(request("ask", 8000)); // read at once, and answered behind the first
-            Thread.sleep(200); // it would be at the reader by now
+            client.send(request("ask", 8000)); // read at once, answered after the first
+            Thread.sleep(200); // ample time for it to reach the reader
             go.countDown();
             assertEquals(client.readChunk(), "data: 1\n\n");
             assertNull(client.readChunk());
@@ -135,7 +144,10 @@
         }
     }
 
-    /** Guards against a request on a connection that comes as the end is decided: unread, it is sent once more. */
+    /**
+     * Guards against losing a request that arrives as the exit is decided: while reading is paused it stays unread, so that its
+     * client may safely send it again.
+     */
     @Test
     public void nothingIsReadUnderASeal() throws Exception {
         try (HttpFrontServer server = new HttpFrontServer(
@@ -147,9 +159,9 @@
                         new ClientRoom(10, 1 << 20),
                         (requestClass, status) -> {});
                 Line client = new Line(server.listen(new InetSocketAddress("127.0.0.1", 0), false))) {
-            await("sealed", server::seal);
+            await("reading is paused", server::seal);
             client.send(request("ask", 8000));
-            Thread.sleep(150); // the answer would be here by now
+            Thread.sleep(150); // ample time for an answer
             assertFalse(client.ready());
             server.unseal();
             assertEquals(client.read().status(), 200);
--- a/src/test/java/copperbeam/sockets/EtcdMembershipTest.java
+++ b/src/test/java/copperbeam/sockets/EtcdMembershipTest.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import org.testng.annotations.Test;
 
-/** The list by etcd's JSON gateway, against a stand-in for it. */
+/** The server list from etcd, by its JSON gateway, for which the test has a stand-in. */
 public class EtcdMembershipTest {
     private static final String PREFIX = "/s/";
 
@@ -50,7 +50,7 @@
             }
             line.beginStream().chunk("{\"result\":{\"header\":{\"revision\":\"7\"},\"created\":true}}\n");
             for (String next = told.take(); !next.isEmpty(); next = told.take()) {
-                // in two pieces, as lines and chunks need not agree
+                // in two pieces, as JSON lines need not coincide with chunks
                 line.chunk(next.substring(0, 9)).chunk(next.substring(9));
             }
             line.reset();
@@ -63,8 +63,8 @@
                         "{\"kv\":" + kv(site.readers.get(0), "prefill", "active") + "},{\"kv\":"
                                 + kv(site.writers.get(0), "decode", "active") + "}"));
                 serves(site, 200);
-                told.add("");
-                await("goes on from the revision after the last", () -> watches(etcd, 9) == 1);
+                told.add(""); // makes the stand-in reset the watch
+                await("watches again from the revision after the last", () -> watches(etcd, 9) == 1);
 
                 told.add(event(
                         9,
@@ -84,7 +84,7 @@
                 ranges.add("{\"header\":{\"revision\":\"40\"},\"kvs\":[" + kv(site.readers.get(0), "prefill", "active")
                         + "," + kv(site.writers.get(0), "decode", "active") + "]}");
                 told.add("{\"result\":{\"canceled\":true,\"compact_revision\":\"30\"}}\n");
-                await("listed anew", () -> watches(etcd, 41) == 1);
+                await("lists again, then watches", () -> watches(etcd, 41) == 1);
                 serves(site, 200);
                 assertTrue(ranges.isEmpty());
             }
--- a/src/test/java/copperbeam/sockets/EventProbe.java
+++ b/src/test/java/copperbeam/sockets/EventProbe.java
@@ -12,15 +12,16 @@
 import java.util.stream.Collectors;
 
 /**
- * No test: how long an event takes from its server's socket to its client's, over both fronts, beside what else goes on.
- * Servers, clients and conductor share this process, so that the figures hold their waits for a core as well.
+ * Not a test: measures how long an event takes from the server's socket to the client's, through both fronts and under
+ * several kinds of disturbance. Servers, clients and conductor share this process, so that the latencies include their
+ * waits for a CPU.
  *
- * <pre>java -cp target/test-classes:target/classes:... copperbeam.sockets.EventProbe SECONDS [ROW ...]</pre>
+ * <pre>java -cp target/test-classes:target/classes:... copperbeam.sockets.EventProbe SECONDS [DISTURBANCE ...]</pre>
  */
 public final class EventProbe {
     private static final int CLIENTS = 16; // half of them at each front
-    private static final int EVENTS = 40; // of a stream
-    private static final long PACE_MS = 25; // between two of them
+    private static final int EVENTS = 40; // events per stream
+    private static final long PACE_MS = 25; // between two events of a stream
     private static final Pattern WRITTEN = Pattern.compile("<(\\d+)>");
 
     private enum Row {
@@ -45,7 +46,7 @@
     private final AtomicBoolean over = new AtomicBoolean();
     private final ConcurrentLinkedQueue<Long> delays = new ConcurrentLinkedQueue<>();
     private final AtomicInteger unserved = new AtomicInteger();
-    private final AtomicInteger done = new AtomicInteger(); // by those who disturb
+    private final AtomicInteger done = new AtomicInteger(); // actions of the disturbing threads
     private final List<Thread> threads = new ArrayList<>();
 
     private EventProbe() throws Exception {
@@ -91,7 +92,7 @@
                     try {
                         task.run();
                     } catch (Exception e) {
-                        LockSupport.parkNanos(1_000_000); // its connection was ended
+                        LockSupport.parkNanos(1_000_000); // the connection was closed
                     }
                 }
             });
@@ -105,7 +106,7 @@
         for (boolean chat : new boolean[] {false, true}) {
             loop(CLIENTS / 2, () -> stream(chat));
         }
-        Thread.sleep(3000); // until its code is compiled
+        Thread.sleep(3000); // until the JIT has compiled the code
         delays.clear();
         unserved.set(0);
         disturb(row);
@@ -230,7 +231,7 @@
         }
     }
 
-    /** A body in chunks that has no end, as fast as it is taken. */
+    /** Sends a chunked body without end, as fast as it is accepted. */
     private void endless() throws Exception {
         String chunks = ("1;" + "x".repeat(2000) + "\r\n{\r\n").repeat(50);
         try (Line line = site.client()) {
@@ -243,7 +244,7 @@
         }
     }
 
-    /** A stream that its server writes as fast as it can. */
+    /** Reads a stream that its server writes as fast as it can, with a pause after each chunk. */
     private void read(int pauseMs) throws Exception {
         try (Line line = site.client()) {
             line.send(Site.request("send", 1500)).head();
--- a/src/test/java/copperbeam/sockets/EventsTest.java
+++ b/src/test/java/copperbeam/sockets/EventsTest.java
@@ -16,8 +16,8 @@
 import org.testng.annotations.Test;
 
 /**
- * Each event is passed on by itself: its server writes nothing more before the client has confirmed it, so that an event
- * that waits for what follows it never comes.
+ * Each event is forwarded as soon as it is complete: the server writes nothing more until the client has received the event,
+ * so that a router that waits for the bytes behind an event would never deliver it.
  */
 public class EventsTest {
     private static final String HEAD = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n";
@@ -42,32 +42,32 @@
         return size(data) + data + "\r\n";
     }
 
-    /** What a server writes between two confirmations; a client confirms once it has read the last marker in it. */
+    /** The server's writes. It makes the next one when the client has read the last marker of the one before. */
     @DataProvider
     public Object[][] forms() {
         String half = event(2).substring(0, 20);
         String rest = event(2).substring(20);
         String end = chunk(DONE) + END;
         Map<String, List<String>> forms = new java.util.LinkedHashMap<>();
-        forms.put("half of the next behind it", List.of(CHUNKED + chunk(event(1) + half), chunk(rest), end));
+        forms.put("half of the next event follows", List.of(CHUNKED + chunk(event(1) + half), chunk(rest), end));
         forms.put(
-                "a byte of the next behind it",
+                "a byte of the next event follows",
                 List.of(CHUNKED + chunk(event(1) + "d"), chunk(event(2).substring(1)), end));
-        forms.put("its chunk goes on", List.of(CHUNKED + size(event(1) + event(2)) + event(1), event(2) + "\r\n", end));
+        forms.put("its chunk goes on with the next event", List.of(CHUNKED + size(event(1) + event(2)) + event(1), event(2) + "\r\n", end));
         forms.put(
-                "its chunk's end is not here",
+                "its chunk's end is missing",
                 List.of(CHUNKED + size(event(1)) + event(1), "\r\n" + chunk(event(2)), end));
         forms.put(
-                "the next chunk's size behind it",
+                "the next chunk's size follows",
                 List.of(CHUNKED + chunk(event(1)) + size(event(2)), event(2), "\r\n" + end));
         forms.put(
-                "over two chunks",
+                "an event over two chunks",
                 List.of(CHUNKED + chunk(event(1).substring(0, 30)) + chunk(event(1).substring(30)), end));
-        forms.put("three in a chunk", List.of(CHUNKED + chunk(event(1) + event(2) + event(3)), end));
-        forms.put("in the same write as the end", List.of(CHUNKED + chunk(event(1)), chunk(event(2)) + end));
+        forms.put("three events in a chunk", List.of(CHUNKED + chunk(event(1) + event(2) + event(3)), end));
+        forms.put("the last event in the same write as the end", List.of(CHUNKED + chunk(event(1)), chunk(event(2)) + end));
         forms.put("all in one write", List.of(CHUNKED + chunk(event(1)) + chunk(event(2)) + end));
         forms.put(
-                "a comment behind it",
+                "a comment follows",
                 List.of(CHUNKED + chunk(event(1) + ": X-Server-Load: queue=1\n"), chunk("\n" + event(2)), end));
         forms.put(
                 "lines that end with CR LF",
@@ -75,12 +75,12 @@
                         CHUNKED + chunk(event(1).replace("\n", "\r\n") + "data"),
                         chunk(event(2).substring(4).replace("\n", "\r\n")),
                         end));
-        forms.put("the end is not here", List.of(CHUNKED + chunk(event(1)), chunk(DONE), END));
+        forms.put("the end is missing", List.of(CHUNKED + chunk(event(1)), chunk(DONE), END));
         forms.put(
-                "a report behind the last",
+                "a load report after the last event",
                 List.of(CHUNKED + chunk(event(1)), chunk(DONE), chunk(": X-Server-Load: queue=1\n\n"), END));
         forms.put(
-                "a length, no chunks",
+                "a Content-Length instead of chunks",
                 List.of(
                         HEAD + "Content-Length: " + (event(1) + event(2) + DONE).length() + "\r\n\r\n" + event(1)
                                 + half,
@@ -96,7 +96,7 @@
         return rows.toArray(new Object[0][]);
     }
 
-    /** {@code bytes}: each of them is a segment of its own. */
+    /** {@code byteByByte}: the server sends each byte in a TCP segment of its own. */
     @Test(dataProvider = "forms")
     public void anEventWaitsForNothing(String form, boolean chat, boolean bytes, List<String> writes) throws Exception {
         Semaphore confirmed = new Semaphore(0);
@@ -124,12 +124,12 @@
                 confirmed.release();
             }
             while ((last = client.readChunk()) != null) {
-                assertTrue(!last.isEmpty(), "cut");
+                assertTrue(!last.isEmpty(), "the stream was cut short");
             }
         }
     }
 
-    /** The last event that is whole with what was written up to here. */
+    /** The marker of the last event that is complete with this write; empty if there is none. */
     private static String lastMarker(String write) {
         for (int number = 3; number > 0; number--) {
             if (write.contains(marker(number))) {
@@ -149,7 +149,7 @@
         return new Object[][] {{Flood.SERVER}, {Flood.CLIENT}};
     }
 
-    /** Who sends without end, and is read as fast as it sends, takes no turn from others. */
+    /** A peer that sends without end, and is read as fast as it sends, doesn't starve other connections. */
     @Test(dataProvider = "floods")
     public void othersHaveTheirTurnBesideAFlood(Flood flood) throws Exception {
         Semaphore confirmed = new Semaphore(0);
@@ -184,7 +184,7 @@
                         for (int i = 0; flooded.readChunk() != null; i++) {
                             flooding.release(i == 1000 ? 1 : 0);
                         }
-                        flooding.release(); // its end too was passed on
+                        flooding.release(); // the end of the flood was forwarded too
                     } else {
                         flooded.send(request("send", 1500)
                                 .replaceFirst("Content-Length.*\r\n\r\n\\{\\}", "Transfer-Encoding: chunked\r\n\r\n"));
@@ -194,7 +194,7 @@
                         }
                     }
                 } catch (java.io.IOException e) {
-                    flooding.release(); // turned away
+                    flooding.release(); // the connection was closed
                 }
             });
             other.start();
@@ -211,10 +211,10 @@
         }
     }
 
-    /** Guards a thread's stack, which whatever is copied or written by recursion can use up. */
+    /** Guards against a stack overflow in recursive code that copies or writes deeply nested JSON. */
     @Test(dataProvider = "floods")
     public void whatNestsWithoutEndIsNoEventOfAChat(Flood from) throws Exception {
-        int depth = from == Flood.SERVER ? 12_000 : 50_000; // within what one event and one request may hold
+        int depth = from == Flood.SERVER ? 12_000 : 50_000; // within the size limits of an event and of a request
         String deep = "\"x\":" + "[".repeat(depth) + "]".repeat(depth);
         try (Site site = new Site(1, 1);
                 Line bad = site.chatClient()) {
@@ -229,7 +229,7 @@
             Line.Message answer = bad.read();
             assertEquals(answer.status(), from == Flood.SERVER ? 200 : 400);
             assertEquals(answer.whole(), from == Flood.CLIENT);
-            assertTrue(System.nanoTime() - sent < 3_000_000_000L, "not as one that is silent for 4 s");
+            assertTrue(System.nanoTime() - sent < 3_000_000_000L, "not ended at once, but by the 4 s limit for silence");
             writer.script = usual;
             try (Line good = site.chatClient()) {
                 assertEquals(good.send(chat("m-send", true, "")).read().status(), 200);
--- a/src/test/java/copperbeam/sockets/GeneratedSitesTest.java
+++ b/src/test/java/copperbeam/sockets/GeneratedSitesTest.java
@@ -22,16 +22,16 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** A process of the program under settings drawn from a seed, before servers of each kind: each class is served. */
+/** Runs the program with settings drawn from a seed and servers of each kind, and checks that each class is served. */
 public class GeneratedSitesTest {
     private static final long FIRST = Long.getLong("sites.first", 1);
     private static final int SEEDS = Integer.getInteger("sites.seeds", 6);
-    private static final int TRIES = 2; // of a request; a busy machine may refuse the first as late
+    private static final int TRIES = 2; // times that a client sends a request; on a busy machine the first may be refused as too late
     private static final String TENANT = "Überall 客";
     private static final String KEY = "9f3c-77";
-    private static final double SLACK_S = 0.15; // by which the deadline told may be above what is left
+    private static final double SLACK_S = 0.15; // by which a forwarded X-Timeout may exceed the client's
 
-    /** What a seed's settings are changed to, beside it: the corners that matter most, each in one of the sites. */
+    /** Extreme values that replace those drawn from the seed; the seeds take the cases in turn. */
     private static final Map<String, Map<String, Object>> CORNERS = corners();
 
     private static Map<String, Map<String, Object>> corners() {
@@ -104,17 +104,17 @@
 
             String file = Files.readString(conductor.folder.resolve("config.json"));
             conductor.signal("HUP");
-            Site.await("read anew", () -> conductor.logged("configuration read anew"));
+            Site.await("configuration reloaded", () -> conductor.logged("configuration read anew"));
             conductor.replaceFile(
                     "{\"listen\":\"127.0.0.1:1\",\"discovery\":\"127.0.0.1:1\",\"settings\":{\"balancers\":0,"
                             + "\"services\":[{\"name\":\"x\",\"promise_s\":1,\"semantics\":\"safe\"}],\"limits\":{\"send_cap\":2}}}");
             conductor.signal("HUP");
-            Site.await("told by its key", () -> conductor.logged("settings.balancers: "));
+            Site.await("the faulty key is logged", () -> conductor.logged("settings.balancers: "));
             conductor.replaceFile(file);
             fronts.platform(servers, drawn.classes().get(0));
 
             conductor.signal("TERM");
-            assertTrue(conductor.process.waitFor(Line.PATIENCE_MS, TimeUnit.MILLISECONDS), "it ends");
+            assertTrue(conductor.process.waitFor(Line.PATIENCE_MS, TimeUnit.MILLISECONDS), "the process did not end");
             assertEquals(conductor.process.exitValue(), 0);
         } catch (Exception | AssertionError e) {
             throw new AssertionError(corner + ": " + e + "\n" + drawn, e);
@@ -137,7 +137,7 @@
         return bytes == null ? null : new String(bytes.getBytes(StandardCharsets.ISO_8859_1), StandardCharsets.UTF_8);
     }
 
-    /** Two servers of each kind, which hold to the settings: reports, probes, idle time. */
+    /** Two servers of each kind that follow the settings for load reports, probes and the idle timeout. */
     private static final class Servers implements AutoCloseable {
         private final List<StandIn> all = new ArrayList<>();
         private final List<String> entries = new ArrayList<>();
@@ -189,7 +189,7 @@
             }
         }
 
-        /** Requests come one at a time here, so that one line's idleness is that of all. */
+        /** Closes an idle connection. As the test sends one request at a time, no new request at any server means idle. */
         private void end(Line line, long requests) {
             try {
                 if (all.stream().mapToLong(s -> s.seen.size()).sum() == requests) {
@@ -224,7 +224,7 @@
         public void close() throws IOException {
             assertTrue(
                     probes || all.stream().allMatch(s -> s.count(m -> m.method().equals("GET")) == 0),
-                    "a probe where none is allowed");
+                    "a probe was sent although probing is off");
             closing.shutdownNow();
             for (StandIn server : all) {
                 server.close();
@@ -263,7 +263,10 @@
             conductor.awaitReady();
         }
 
-        /** Served in one of a few tries, and each attempt has told its server what the client has told us. */
+        /**
+         * Checks that a request is served within {@link #MAX_TRIES} tries, and that each attempt forwards the client's class, tenant,
+         * key and time left to the server.
+         */
         void platform(Servers servers, String requestClass) throws Exception {
             for (String timeout : List.of("4000m", "120000m", "86400000000u", "700m")) {
                 int status = 0;
@@ -286,11 +289,11 @@
                             assertEquals(m.header("Idempotency-Key"), KEY);
                             double told = seconds(m.header("X-Timeout"));
                             assertTrue(
-                                    told > 0 && told <= seconds(timeout) + SLACK_S, "told " + told + " of " + timeout);
+                                    told > 0 && told <= seconds(timeout) + SLACK_S, "forwarded " + told + " of " + timeout);
                         }
                     }
-                    assertTrue(System.nanoTime() - sent < 5e9, "an answer after its time");
-                    Thread.sleep(60); // beyond the least idle time
+                    assertTrue(System.nanoTime() - sent < 5e9, "the answer came after 5 s");
+                    Thread.sleep(60); // ms, beyond the shortest idle timeout of 50 ms
                 }
                 assertEquals(status, 200, "class '" + requestClass + "' with " + timeout);
             }
@@ -325,7 +328,7 @@
                     .anyMatch(m -> utf8(m.header("X-Priority-Class")).equals(requestClass)));
         }
 
-        /** At the operators' door each class has its line, under its name. */
+        /** Checks that the INFO answer has a non-zero counter of answered requests for each class, under its name. */
         void figures() {
             String info = conductor.call("INFO");
             for (String requestClass : drawn.classes()) {
--- a/src/test/java/copperbeam/sockets/HeldBackTest.java
+++ b/src/test/java/copperbeam/sockets/HeldBackTest.java
@@ -39,9 +39,9 @@
 import org.testng.annotations.Test;
 
 /**
- * What must not run twice, on connections that end before its last byte has left. All between a front and the
- * servers is the program's, but the hold: where a connection is to end first, the byte stays for good here, as within
- * 2 ms a busy machine may give a server no turn.
+ * Requests of an unsafe class on connections that end before the last byte of the request was sent. Everything between a
+ * front and the servers is production code, except how long the last byte is held: on a connection that the server is to
+ * reset first, the byte is never sent, because on a busy machine the server may not run within the usual 2 ms.
  */
 public class HeldBackTest {
     private enum Meets {
@@ -50,7 +50,7 @@
         SERVED
     }
 
-    /** What a connection to the writer meets, by the number of those before it. */
+    /** What the writer does with each connection; they are numbered from 0. */
     private interface Plan {
         Meets of(int connection);
     }
@@ -61,7 +61,7 @@
         final StandIn reader = new StandIn(Site::read);
         final StandIn writer = new StandIn(Site::write);
         final AtomicInteger met = new AtomicInteger();
-        final CountDownLatch passed = new CountDownLatch(1); // an event, to a client
+        final CountDownLatch passed = new CountDownLatch(1); // an event was forwarded to the client
         final ModuleActor module;
 
         Parts(Plan plan) throws Exception {
@@ -105,7 +105,10 @@
             return new MembershipSource.Entry(new Member(id, "z", kind, 0, ServerState.READY, 1, 0), server.address());
         }
 
-        /** What the client is told, the stream's events or a word. */
+        /**
+         * Sends a request and returns what the client gets: the stream's events, followed by "broken" if the stream broke, or
+         * "refused" or "failed".
+         */
         String send(String id) throws Exception {
             HttpCall call = new HttpCall(
                     "POST", "/v1/chat/completions", Map.of(), "{}".getBytes(StandardCharsets.US_ASCII), Instant.now());
@@ -164,7 +167,10 @@
         }
     }
 
-    /** Keeps from the program that a call is held, where the connection is not to be served: it lets nothing go. */
+    /**
+     * Doesn't report the hold of the last byte on connections that the writer won't serve, so that the byte is never
+     * sent.
+     */
     private record Withholding(Connector all, InetSocketAddress writer, Plan plan, AtomicInteger connections)
             implements Connector {
         Withholding(Connector all, InetSocketAddress writer, Plan plan) {
@@ -206,7 +212,7 @@
             on.call(call, new Connector.Listener() {
                 @Override
                 public void sent() {
-                    throw new AssertionError("sent, though nobody has let it go");
+                    throw new AssertionError("the last byte was sent, though nobody asked for it");
                 }
 
                 @Override
@@ -236,7 +242,7 @@
 
         @Override
         public void let() {
-            throw new AssertionError("let go, though nobody was told that it is held");
+            throw new AssertionError("the last byte is to be sent, though its hold was not reported");
         }
 
         @Override
@@ -265,7 +271,10 @@
         }
     }
 
-    /** A connection that ends before the last byte left proves that nothing ran, so that another is tried. */
+    /**
+     * A connection that ends before the last byte was sent proves that nothing ran: the same attempt goes on with another
+     * connection.
+     */
     @Test
     public void aResetBeforeTheLastByteCostsNothing() throws Exception {
         try (Parts parts = new Parts(connection -> connection % 2 == 0 ? Meets.RESET : Meets.SERVED)) {
@@ -273,12 +282,12 @@
                 assertEquals(parts.send("id" + i), EVENTS);
             }
             assertEquals(parts.writer.attempts(), 3);
-            assertEquals(parts.reader.attempts(), 3, "no attempt was spent");
+            assertEquals(parts.reader.attempts(), 3, "no attempt was used up");
             assertEquals(parts.met.get(), 6);
         }
     }
 
-    /** Three in a row spend one attempt, which has not run: the module has another made. */
+    /** Three such resets in a row end the attempt, which has certainly not run: the module starts another one. */
     @Test
     public void threeResetsBeforeTheLastByteSpendOneAttempt() throws Exception {
         try (Parts parts = new Parts(connection -> connection < 3 ? Meets.RESET : Meets.SERVED)) {
@@ -288,7 +297,7 @@
         }
     }
 
-    /** Guards against a second run: who answers has begun with something, whatever has left. */
+    /** Guards against a second run: a server that answers has begun to run the request, even without its last byte. */
     @Test
     public void anAnswerBeforeTheLastByteMayHaveRun() throws Exception {
         try (Parts parts = new Parts(connection -> connection == 0 ? Meets.RESET_AFTER_EVENT : Meets.SERVED)) {
--- a/src/test/java/copperbeam/sockets/KnownListTest.java
+++ b/src/test/java/copperbeam/sockets/KnownListTest.java
@@ -14,9 +14,12 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** What a start makes of the list that its configuration knows, where the list is pushed. */
+/** How a starting router uses the server list in its configuration, if a local discovery agent pushes the current list to it. */
 public class KnownListTest {
-    /** What the agent has counts as told from the first moment, so that nothing goes by an older list before its own is in. */
+    /**
+     * The agent's list counts as known from the router's start, so that no request is routed by an older list before the
+     * agent's list has arrived.
+     */
     @Test
     public void nothingGoesByAnOlderListBeforeTheAgentsIsIn() throws Exception {
         CountDownLatch told = new CountDownLatch(1);
@@ -43,8 +46,8 @@
             try (Node node = node(discovery, known);
                     Line client = new Line(node.address())) {
                 client.send(request("send", 8000));
-                await("asked for the list", () -> !discovery.seen.isEmpty());
-                await("a while of the request's time", new java.util.function.BooleanSupplier() {
+                await("the list was requested", () -> !discovery.seen.isEmpty());
+                await("400 ms have passed", new java.util.function.BooleanSupplier() {
                     private final long until =
                             System.nanoTime() + Duration.ofMillis(400).toNanos();
 
@@ -67,7 +70,7 @@
         return new Object[][] {{"empty"}, {"silent"}};
     }
 
-    /** An agent that has heard of nobody yet is as one that says nothing: the list known before has to do. */
+    /** An agent that knows no servers yet is treated like a silent one: the configured list is used. */
     @Test(dataProvider = "starts")
     public void nobodyIsTurnedAwayForAnAgentThatHasHeardOfNobody(String how) throws Exception {
         CountDownLatch heard = new CountDownLatch(1);
@@ -100,7 +103,7 @@
                 assertEquals(client.send(request("send", 8000)).read().status(), 200);
                 assertEquals(old.attempts(), 1);
                 heard.countDown();
-                await("its own list", () -> discovery.count(m -> m.path().contains("from=2&")) > 0);
+                await("the agent's list was received", () -> discovery.count(m -> m.path().contains("from=2&")) > 0);
                 assertEquals(client.send(request("send", 8000)).read().status(), 200);
                 assertEquals(writer.attempts(), 1);
                 assertEquals(old.attempts(), 1);
@@ -108,7 +111,7 @@
         }
     }
 
-    /** Nor does a list known before that names nobody: the front would send clients here, to be turned away. */
+    /** A configured list without servers makes no router ready: clients would be sent to it only to be refused. */
     @Test
     public void nobodyIsReadyByAListWithoutServers() throws Exception {
         CountDownLatch heard = new CountDownLatch(1);
--- a/src/test/java/copperbeam/sockets/LeavingServerTest.java
+++ b/src/test/java/copperbeam/sockets/LeavingServerTest.java
@@ -13,7 +13,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Attempts at a server that the list says is on its way out. */
+/** Attempts at a server that the list reports as leaving, gone or moved. */
 public class LeavingServerTest {
     private static Site site(String settings) throws Exception {
         return new Site(0, 0, 30, null, List.of(), Config.Limits.USUAL, Site.parsed(settings), Duration.ofSeconds(4));
@@ -22,7 +22,7 @@
     private static void tell(Site site, String entries) throws Exception {
         long version = site.discovery.seen.size();
         site.changes.add(entries);
-        await("told", () -> site.changes.isEmpty() && site.discovery.seen.size() > version);
+        await("the list change was received", () -> site.changes.isEmpty() && site.discovery.seen.size() > version);
     }
 
     @DataProvider
@@ -30,7 +30,7 @@
         return new Object[][] {{"leaving"}, {"left"}};
     }
 
-    /** The drain is told while the connection that was chosen for an attempt still comes up. */
+    /** The drain becomes known while the connection for an attempt is still being established. */
     @Test(dataProvider = "words")
     public void whatHasNotBegunBeginsNoMore(String word) throws Exception {
         try (Site site = site(String.format(Site.SETTINGS, "30"));
@@ -43,7 +43,7 @@
             }
             tell(site, Site.entry(late, "prefill", "active") + "," + Site.entry(writer, "decode", "active"));
             Line client = site.client().send(request("ask", 8000));
-            await("on its way", () -> site.get("/healthz").status() == 200 && connecting(late));
+            await("the connect is under way", () -> site.get("/healthz").status() == 200 && connecting(late));
             tell(site, Site.entry(late, "prefill", word) + "," + Site.entry(other, "prefill", "active"));
             late.open();
             assertEquals(client.read().status(), 200);
@@ -56,7 +56,7 @@
         }
     }
 
-    /** A silent server leaves the list while an attempt is out there: whether it is silent is still found out. */
+    /** A silent server is removed from the list while it has an attempt: its silence is still detected, and another gets it. */
     @Test
     public void aSilentServerThatHasLeftHoldsNoRequest() throws Exception {
         CountDownLatch never = new CountDownLatch(1);
@@ -66,7 +66,7 @@
                 StandIn writer = new StandIn(Site::write)) {
             tell(site, Site.entry(silent, "prefill", "active") + "," + Site.entry(writer, "decode", "active"));
             Line client = site.client().send(request("ask", 9000));
-            await("read", () -> silent.attempts() == 1);
+            await("the silent server has the attempt", () -> silent.attempts() == 1);
             tell(site, Site.entry(silent, "prefill", "left") + "," + Site.entry(other, "prefill", "active"));
             assertEquals(client.read().status(), 200);
             assertEquals(other.attempts(), 1);
@@ -74,7 +74,7 @@
         }
     }
 
-    /** One change gives a server another address while a read is out at the first one, which still answers. */
+    /** A list change gives a server another address while a read is in flight at the old one, which still answers. */
     @Test
     public void aServerAtANewAddressIsSentToThere() throws Exception {
         CountDownLatch moved = new CountDownLatch(1);
@@ -88,7 +88,7 @@
             String entry = Site.entry(first, "prefill", "active");
             tell(site, entry + "," + Site.entry(writer, "decode", "active"));
             try (Line client = site.client().send(request("ask", 9000))) {
-                await("read", () -> first.attempts() == 1);
+                await("the old address has the attempt", () -> first.attempts() == 1);
                 tell(site, entry.replace(first.host(), next.host()));
                 moved.countDown();
                 assertEquals(client.read().status(), 200);
@@ -99,7 +99,7 @@
         }
     }
 
-    /** Its handshake is sent and not answered, as the system has it. */
+    /** Whether a connect to the server is pending: the kernel lists a socket to its port in state SYN_SENT. */
     private static boolean connecting(StandIn to) {
         try {
             String sent = String.format(
--- a/src/test/java/copperbeam/sockets/LimitsTest.java
+++ b/src/test/java/copperbeam/sockets/LimitsTest.java
@@ -14,7 +14,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The program under the descriptors that its configuration states. */
+/** The program under the limit of file descriptors that its configuration states. */
 public class LimitsTest {
     private static Line.Message ask(Conductor conductor) {
         try (Line client = new Line(conductor.address)) {
@@ -24,7 +24,7 @@
         }
     }
 
-    /** Guards against an end of listening for good where a connection could not be accepted. */
+    /** Guards against a listener that stops for good after an accept has failed. */
     @Test
     public void aStormOfConnectionsIsOutlived() throws Exception {
         try (StandIn reader = new StandIn(Site::read);
@@ -42,7 +42,7 @@
             }
             long until = System.nanoTime() + Line.PATIENCE_MS * 1_000_000L;
             await("healthy again", conductor::healthy);
-            // beside it the room is short, so that a request may be refused; it is served all the same, and soon
+            // beside the open connections room is short, so that single requests may be refused; others are served soon
             for (int served = 0; served < 5; ) {
                 Line.Message answer = ask(conductor);
                 served += answer.status() == 200 ? 1 : 0;
@@ -54,7 +54,7 @@
             for (Line line : storm) {
                 line.close();
             }
-            await("the storm is over", () -> ask(conductor).status() == 200);
+            await("served after the connections are closed", () -> ask(conductor).status() == 200);
             for (int i = 0; i < 5; i++) {
                 assertEquals(ask(conductor).status(), 200);
             }
@@ -62,15 +62,19 @@
         }
     }
 
-    /** {@code atOnce}: who has connected asks; else after the last has, so that some have said nothing for a while. */
+    /**
+     * {@code atOnce}: each client sends its request as soon as it is connected; otherwise only after the last one has connected,
+     * so that some connections are silent for a while.
+     */
     @DataProvider
     public Object[][] bursts() {
         return new Object[][] {{256, 400, false}, {1024, 1100, true}};
     }
 
     /**
-     * More clients than there is room for, under a true limit at or below the file's, while discovery is away. Guards the
-     * descriptors that are not for clients: once servers' connections took the last ones and nothing was answered again.
+     * More clients than there is room for, under a process limit at or below the configured one, while discovery is down. Guards
+     * the descriptors that are reserved for other purposes: if connections to servers take the last ones, the process cannot
+     * answer any more.
      */
     @Test(dataProvider = "bursts")
     public void aBurstLeavesDescriptorsForAllElse(int limit, int clients, boolean atOnce) throws Exception {
@@ -87,7 +91,7 @@
             await("healthy", conductor::healthy);
             StandIn.Script there = discovery.script;
             discovery.script = (m, line) -> {
-                throw new IOException("away");
+                throw new IOException("discovery is down");
             };
             for (Line line : discovery.lines) {
                 line.close();
@@ -119,12 +123,12 @@
                     there.run(m, line);
                 }
             };
-            await("discovery is asked anew, and from its change on", () -> told.get() > 1);
+            await("discovery is asked again, then from the new version on", () -> told.get() > 1);
             discovery.script = there;
             long before = other.attempts();
             await(
                     "served",
-                    () -> { // a few may be refused yet, as the servers were slow
+                    () -> { // a few may still be refused, as the servers were slow
                         try (Line client = new Line(conductor.address)) {
                             return client.send(request("send", 5000)).read().status() == 200;
                         } catch (IOException e) {
--- a/src/test/java/copperbeam/sockets/Line.java
+++ b/src/test/java/copperbeam/sockets/Line.java
@@ -10,9 +10,9 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** One end of an HTTP/1.1 connection, byte by byte, so that a test can break it wherever it likes. */
+/** One end of an HTTP/1.1 connection on a plain socket, so that a test can break the protocol at any byte. */
 final class Line implements AutoCloseable {
-    static final int PATIENCE_MS = 10_000; // after this a test fails rather than hangs
+    static final int PATIENCE_MS = 10_000; // read timeout, so that a test fails instead of hanging
 
     record Message(String start, Map<String, String> headers, byte[] body, boolean whole) {
         int status() {
@@ -37,7 +37,7 @@
     }
 
     private final Socket socket;
-    volatile boolean ended; // a stand-in has done with it
+    volatile boolean ended; // the stand-in that served this connection has closed it
     private final InputStream in;
 
     Line(Socket socket) throws IOException {
@@ -53,7 +53,7 @@
 
     Line send(String text) throws IOException {
         socket.getOutputStream()
-                .write(text.getBytes(StandardCharsets.UTF_8)); // once: the other side may close behind it
+                .write(text.getBytes(StandardCharsets.UTF_8)); // in one write: the peer may close after the first bytes
         return this;
     }
 
@@ -85,7 +85,7 @@
         return line.toString(StandardCharsets.ISO_8859_1).strip();
     }
 
-    /** Start line and headers; null at the end of the connection. */
+    /** Reads the start line and headers; null at the end of the connection. */
     Message head() throws IOException {
         String start = line();
         if (start == null || start.isEmpty()) {
@@ -100,7 +100,7 @@
         return new Message(start, headers, new byte[0], true);
     }
 
-    /** The next chunk; null after the last, and {@code ""} where the connection ended without one. */
+    /** The next chunk; null for the last (empty) chunk, and {@code ""} if the connection ended before it. */
     String readChunk() throws IOException {
         try {
             String size = line();
@@ -115,13 +115,16 @@
         }
     }
 
-    /** A whole message; {@code whole} is false where a chunked body has no last chunk. */
+    /** Reads a message; {@code complete} is false if its body ended early. Null at the end of the connection. */
     Message read() throws IOException {
         Message head = head();
         return head == null ? null : rest(head);
     }
 
-    /** The same message with its body; not whole either where it is shorter than its head said. */
+    /**
+     * Reads the body after {@code head}. The message is incomplete if a chunked body has no last chunk, or if the body is shorter
+     * than its Content-Length.
+     */
     Message rest(Message head) throws IOException {
         ByteArrayOutputStream body = new ByteArrayOutputStream();
         boolean whole = true;
@@ -139,7 +142,7 @@
         return new Message(head.start, head.headers, body.toByteArray(), whole);
     }
 
-    /** Waits until the other side has closed. */
+    /** Waits until the peer has closed the connection; false if the read times out or data arrives. */
     boolean awaitClosed() throws IOException {
         try {
             return in.read() < 0;
@@ -150,18 +153,18 @@
         }
     }
 
-    /** Whether bytes of the other side are here. */
+    /** Whether bytes from the peer have arrived. */
     boolean ready() throws IOException {
         return in.available() > 0;
     }
 
-    /** Whether the other side's close is here by now. */
+    /** Whether the peer's close has already arrived. */
     boolean isClosed() throws IOException {
-        socket.setSoTimeout(1); // the least that there is
+        socket.setSoTimeout(1); // ms, the shortest timeout
         return awaitClosed();
     }
 
-    /** Ends the sending and goes on reading. */
+    /** Closes the sending direction only; reading goes on. */
     void halfClose() throws IOException {
         socket.shutdownOutput();
     }
--- a/src/test/java/copperbeam/sockets/MovedListTest.java
+++ b/src/test/java/copperbeam/sockets/MovedListTest.java
@@ -8,15 +8,15 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import org.testng.annotations.Test;
 
-/** The list's address moves on SIGHUP while servers drain. */
+/** SIGHUP changes the address of the server list while servers drain. */
 public class MovedListTest {
     private static String list(long version, boolean full, String... entries) {
         return "{\"version\":" + version + ",\"full\":" + full + ",\"servers\":[" + String.join(",", entries) + "]}";
     }
 
     /**
-     * The old address tells of a drain just before or just after it is left, the new one lags and lists the server
-     * as active. Guards against what it then would be sent.
+     * The old address reports a drain while the address changes; the new one lags behind and lists the server as active.
+     * Guards against requests to the draining server.
      */
     @Test
     public void aDrainIsKeptThroughAMove() throws Exception {
@@ -34,7 +34,7 @@
                                         Site.entry(reader, "prefill", "active"),
                                         Site.entry(drains, "decode", "active")));
                     } else if (m.path().contains("from=7&")) {
-                        moved.await(); // on its way as the address moves
+                        moved.await(); // answered only after the address has changed
                         line.answer(200, list(8, false, Site.entry(drains, "decode", "leaving")));
                     } else {
                         line.close();
@@ -58,12 +58,12 @@
                 });
                 Conductor conductor = new Conductor(first, 1024, 192)) {
             conductor.awaitHealthy();
-            await("watched", () -> first.count(m -> m.path().contains("from=7&")) > 0);
+            await("the old address is watched", () -> first.count(m -> m.path().contains("from=7&")) > 0);
             conductor.configure(second.host());
             conductor.signal("HUP");
             await("asked at the new address", () -> second.count(m -> m.path().contains("from=7&")) > 0);
             moved.countDown();
-            await("the drain is in", () -> first.count(m -> m.path().contains("from=8&")) > 0);
+            await("the drain was received", () -> first.count(m -> m.path().contains("from=8&")) > 0);
             try (Line client = new Line(conductor.address)) {
                 for (int i = 0; i < 20; i++) {
                     assertEquals(client.send(request("ask", 5000)).read().status(), 200);
@@ -74,7 +74,7 @@
         }
     }
 
-    /** Guards against a new address that takes connections and says nothing on the first of them. */
+    /** Guards against a new address that accepts connections but never answers on the first of them. */
     @Test
     public void aSilentConnectionHidesNoList() throws Exception {
         try (StandIn reader = new StandIn(Site::read);
@@ -102,8 +102,8 @@
                 conductor.awaitHealthy();
                 conductor.configure(list.host());
                 conductor.signal("HUP");
-                await("asked beside the silent call", beside::get);
-                await("watched", () -> list.count(m -> m.path().contains("from=7&")) > 0);
+                await("called again during the silent call", beside::get);
+                await("the new address is watched", () -> list.count(m -> m.path().contains("from=7&")) > 0);
                 try (Line client = new Line(conductor.address)) {
                     assertEquals(client.send(request("ask", 5000)).read().status(), 200);
                 }
--- a/src/test/java/copperbeam/sockets/NoLookUpTest.java
+++ b/src/test/java/copperbeam/sockets/NoLookUpTest.java
@@ -16,8 +16,9 @@
 import org.testng.annotations.Test;
 
 /**
- * Servers and discovery are known by address alone, and the platform has no DNS: where a look-up waits for its
- * time-out, so does every call out. An address keeps the name that was asked for, and shows it.
+ * Servers and discovery are known by address only, and the platform has no DNS: if calls looked up names, each would wait
+ * for the look-up's timeout. An {@link InetAddress} keeps the name that was looked up and shows it in its text, which is how
+ * these tests detect a look-up.
  */
 public class NoLookUpTest {
     private static InetSocketAddress nameless(StandIn server) throws Exception {
@@ -64,7 +65,7 @@
                 @Override
                 public void closed(Connector.Connection connection) {}
             });
-            await("heard", () -> heard.getCount() == 0);
+            await("the probe is answered", () -> heard.getCount() == 0);
             assertEquals(at.getAddress().toString(), "/127.0.0.1");
         }
     }
--- a/src/test/java/copperbeam/sockets/OpenAiFrontTest.java
+++ b/src/test/java/copperbeam/sockets/OpenAiFrontTest.java
@@ -165,7 +165,7 @@
                     .findFirst()
                     .orElseThrow();
             await("closed", () -> ran.lines.get(0).ended);
-            // the core is as it was: the next request is served, and nothing of the first was sent again
+            // the next request is served, and the first was not retried
             site.writers.forEach(w -> w.script = Site::write);
             try (Line client = site.chatClient()) {
                 assertEquals(client.send(chat("m-send", false, "")).read().status(), 200);
@@ -191,8 +191,9 @@
     }
 
     /**
-     * The same requests in both dialects, some against writers that fail: equal service, no send twice. Which ones fail goes by
-     * the request and not by how many attempts there were, and no aim is so near that a slow core has one refused.
+     * The same requests through both APIs, some of them with writers that fail, get the same statuses, and no unsafe request is
+     * sent twice. Which ones fail depends on the request and not on the number of attempts; the promised times are so long that
+     * none is refused on a slow core.
      */
     @Test
     public void bothDialectsAreServedAlike() throws Exception {
@@ -227,7 +228,7 @@
                     for (Line.Message m : writer.seen) {
                         if (m.method().equals("POST")
                                 && m.header("X-Priority-Class").equals("send")) {
-                            assertTrue(sends.add(m.header("X-Request-ID")), "a send ran twice");
+                            assertTrue(sends.add(m.header("X-Request-ID")), "an unsafe request ran twice");
                         }
                     }
                 }
--- a/src/test/java/copperbeam/sockets/OperatorsTest.java
+++ b/src/test/java/copperbeam/sockets/OperatorsTest.java
@@ -18,13 +18,13 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The operators' door, and what its calls do, on real sockets. */
+/** The operators' interface and the effects of its calls, on real sockets. */
 public class OperatorsTest {
     static String call(java.net.InetSocketAddress door, String line) {
         try (Socket socket = new Socket(door.getAddress(), door.getPort())) {
             socket.setSoTimeout(Line.PATIENCE_MS);
             for (byte b : (line + "\n").getBytes(StandardCharsets.US_ASCII)) {
-                socket.getOutputStream().write(b); // cut at each byte
+                socket.getOutputStream().write(b); // one write for each byte: a command may arrive in pieces
             }
             return new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         } catch (IOException e) {
@@ -36,7 +36,7 @@
         return call(site.node.door(), line);
     }
 
-    /** By name, of counts and gauges alike. */
+    /** The counters and gauges of an INFO answer by name, without the prefix "app.". */
     static Map<String, Long> metrics(java.net.InetSocketAddress door) {
         Map<String, Long> metrics = new TreeMap<>();
         String text = call(door, "INFO");
@@ -82,7 +82,7 @@
         }
     }
 
-    /** Callers that say nothing, or half a word, or too much, hold nobody up, however many they are. */
+    /** Callers that send nothing, half a command or too much do not block others, however many they are. */
     @Test
     public void silentCallersHoldNobodyUp() throws Exception {
         try (Site site = new Site(1, 1)) {
@@ -100,7 +100,10 @@
         }
     }
 
-    /** Once the answer is yes nothing new is sent there, whatever discovery says; back it is used again, as cold. */
+    /**
+     * Once DETACH is acknowledged the server gets no new request, whatever discovery says; after ATTACH it is used again, as a cold
+     * server.
+     */
     @Test
     public void whatIsOutGetsNothing() throws Exception {
         try (Site site = new Site(1, 2);
@@ -109,13 +112,13 @@
             assertEquals(call(site, "DETACH " + id(out)), "ACK\n");
             assertEquals(call(site, "DETACH " + id(out)), "ACK\n");
             site.changes.add(Site.entry(out, "decode", "active"));
-            await("told", site.changes::isEmpty);
+            await("the change is sent", site.changes::isEmpty);
             for (int i = 0; i < 20; i++) {
                 assertEquals(client.send(request("ask", 4000)).read().status(), 200);
             }
             assertEquals(out.attempts(), 0);
             assertEquals(site.writers.get(1).attempts(), 20);
-            await("counted as avoided", () -> metrics(site.node.door()).get("cluster_unhealthy") == 1);
+            await("counted as unhealthy", () -> metrics(site.node.door()).get("cluster_unhealthy") == 1);
             assertEquals(call(site, "ATTACH " + id(out)), "ACK\n");
             await("used again", () -> {
                 try {
@@ -129,7 +132,9 @@
         }
     }
 
-    /** Not healthy at once, what is open goes on, idle connections are closed, and back again. */
+    /**
+     * After LAMEDUCK the health check fails at once, open requests go on and idle connections are closed; REJOIN reverses it.
+     */
     @Test
     public void clientsAreSentAway() throws Exception {
         try (Site site = new Site(1, 1);
@@ -159,7 +164,7 @@
                 rest.append(event);
             }
             assertEquals(rest.toString(), Site.EVENTS);
-            assertTrue(busy.awaitClosed(), "its head had promised more, and it stands idle now");
+            assertTrue(busy.awaitClosed(), "closed once idle, though its head had not announced the close");
             assertEquals(call(site, "REJOIN"), "ACK\n");
             assertEquals(site.get("/healthz").status(), 200);
             try (Line again = site.client()) {
@@ -170,7 +175,7 @@
         }
     }
 
-    /** To the piece, against what clients were answered and what servers were sent. */
+    /** The metrics equal exactly what clients were answered and what servers were sent. */
     @Test
     public void figuresAreTrue() throws Exception {
         try (Site site = new Site(1, 1)) {
@@ -211,7 +216,7 @@
                 go.await();
                 Site.write(m, line);
             });
-            // opened only now: a connection that says nothing for 2.4 s is closed, and on a busy core the above takes
+            // opened only now: a connection that sends nothing for 2.4 s is closed, and on a busy core the part above takes
             // longer
             try (Line client = site.client()) {
                 client.send(request("ask", 4000));
--- a/src/test/java/copperbeam/sockets/OtherSitesTest.java
+++ b/src/test/java/copperbeam/sockets/OtherSitesTest.java
@@ -13,7 +13,10 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** What other sites have than the first: names beyond ASCII, in UTF-8 as the settings are, and classes with a key. */
+/**
+ * What other installations may have: class names beyond ASCII (UTF-8, like the settings), classes with idempotency keys, short
+ * connect timeouts, tenant quotas, and servers that send interim answers.
+ */
 public class OtherSitesTest {
     @DataProvider
     public Object[][] names() {
@@ -38,14 +41,14 @@
                 Line client = site.client()) {
             assertEquals(client.send(request(name, 5000)).read().status(), 200);
             for (StandIn server : List.of(site.readers.get(0), site.writers.get(0))) {
-                String seen = server.seen.get(0).header("X-Priority-Class"); // a character a byte
+                String seen = server.seen.get(0).header("X-Priority-Class"); // decoded as ISO-8859-1, one char per byte
                 assertEquals(new String(seen.getBytes(StandardCharsets.ISO_8859_1), StandardCharsets.UTF_8), name);
             }
             assertEquals(client.send(request(name + "?", 5000)).read().status(), 400, "no such class");
         }
     }
 
-    /** Servers know a repeat by its key; one without it is none that its client sent. */
+    /** The Idempotency-Key, by which servers recognise repeats, is forwarded unchanged to the reader and the writer. */
     @Test
     public void theKeyOfARepeatGoesToReaderAndWriter() throws Exception {
         Api.Settings settings =
@@ -59,8 +62,11 @@
         }
     }
 
-    /** The time for a connection is none for an answer: where it is short, releases were never heard, and probes were silence. */
-    @SuppressWarnings("try") // the first client goes in the middle
+    /**
+     * The connect timeout must not limit the wait for an answer: otherwise a short one makes releases time out and probes look
+     * unanswered.
+     */
+    @SuppressWarnings("try") // the first client is closed in the middle of the test
     @Test
     public void anAnswerMayTakeLongerThanAConnection() throws Exception {
         Api.Settings settings =
@@ -69,19 +75,19 @@
                 Line client = site.client();
                 Line other = site.client()) {
             site.readers.forEach(s -> s.script = late(Site::read));
-            site.writers.forEach(s -> s.script = late((m, line) -> line.read())); // no answer before the end
+            site.writers.forEach(s -> s.script = late((m, line) -> line.read())); // reads until the connection ends, without an answer
             client.send(request("ask", 5000));
             Site.await("written", () -> site.attempts(site.writers) == 1);
             client.close();
-            Site.await("let go", () -> site.releases() > 0);
-            Thread.sleep(1000); // a release that is not heard is said again within it
+            Site.await("released", () -> site.releases() > 0);
+            Thread.sleep(1000); // a release that timed out would be retried within this time
             assertTrue(site.releases() <= 2, "releases: " + site.releases());
             site.writers.forEach(s -> s.script = late(Site::write));
             assertEquals(other.send(request("send", 5000)).read().status(), 200);
         }
     }
 
-    /** Later than a connection takes, and well before an answer is late. */
+    /** Answers all but attempts after 60 ms: more than the connect timeout, and far less than the time for an answer. */
     private static StandIn.Script late(StandIn.Script attempts) {
         return (m, line) -> {
             if (m.method().equals("POST")) {
@@ -93,7 +99,7 @@
         };
     }
 
-    /** Work over a tenant's share goes first where servers are full, also that of the class of most worth. */
+    /** If servers are full, requests above their tenant's quota are refused first, even those of the class of highest worth. */
     @Test
     public void whatATenantSendsOverItsShareIsRefusedFirst() throws Exception {
         tenantOverItsShare(List.of());
@@ -126,7 +132,7 @@
         return new Object[][] {{100, true}, {100, false}, {102, true}, {103, false}, {199, true}, {199, false}};
     }
 
-    /** A 1xx is no answer yet, whoever sends it and however many there are. */
+    /** Interim 1xx answers are skipped, from readers and writers and in any number. */
     @Test(dataProvider = "interim")
     public void anInterimAnswerIsPassedOver(int status, boolean reads) throws Exception {
         try (Site site = new Site(1, 1);
@@ -141,7 +147,7 @@
                     Site.write(m, line);
                 }
             });
-            for (int i = 0; i < 2; i++) { // on the kept connection too
+            for (int i = 0; i < 2; i++) { // again on the kept connection
                 Line.Message answer = client.send(request("send", 5000)).read();
                 assertEquals(answer.status(), 200);
                 assertEquals(answer.text(), Site.EVENTS);
@@ -150,7 +156,7 @@
         }
     }
 
-    /** After one that is the last word nothing comes: an attempt that failed and may have run. */
+    /** No answer follows a 101: the attempt has failed, and the request may have run. */
     @Test
     public void aServerThatSwitchesProtocolsHasFailed() throws Exception {
         for (String requestClass : List.of("ask", "send")) {
--- a/src/test/java/copperbeam/sockets/PlainHttpClientTest.java
+++ b/src/test/java/copperbeam/sockets/PlainHttpClientTest.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.TimeUnit;
 import org.testng.annotations.Test;
 
-/** Calls to services beside the servers. */
+/** Calls to services other than model servers, such as discovery. */
 public class PlainHttpClientTest {
     private static final class Told implements HttpClient.Response {
         final CompletableFuture<String> last = new CompletableFuture<>();
@@ -37,7 +37,7 @@
         }
     }
 
-    /** Its connection was closed, though it had ended and the connection carried the next call. */
+    /** Guards against a late stop of a completed call that closes its connection, which already carries the next call. */
     @Test
     public void aCallThatIsStoppedAfterItsEndLeavesTheNextAlone() throws Exception {
         CountDownLatch met = new CountDownLatch(1);
--- a/src/test/java/copperbeam/sockets/PluginTest.java
+++ b/src/test/java/copperbeam/sockets/PluginTest.java
@@ -17,7 +17,10 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Plug-ins in WebAssembly before a running conductor. Class 0 is ask, which may be repeated; class 1 is send. */
+/**
+ * WebAssembly plug-ins in a running conductor. A plug-in returns 0 to let a request pass, -n to refuse it for n ms, and n + 1 to
+ * move it to class n. Class 0 is ask, which may be repeated; class 1 is send.
+ */
 public class PluginTest {
     private static final byte[] FOREVER = {0x03, 0x40, 0x0c, 0x00, 0x0b, 0x41, 0x00, 0x0b};
     private static final byte[] TRAP = {0x00, 0x0b};
@@ -48,7 +51,7 @@
             {constant(0), "ask", 200, "ask"},
             {constant(-5), "ask", 429, null},
             {constant(2), "ask", 200, "send"},
-            {constant(1), "send", 200, "send"}, // may not become one that is repeated
+            {constant(1), "send", 200, "send"}, // must not become a class that may be repeated
             {constant(3), "ask", 200, "ask"}, // there is no such class
             {FOREVER, "ask", 200, "ask"},
             {TRAP, "send", 200, "send"},
@@ -72,7 +75,7 @@
         }
     }
 
-    /** Each request gets its final answer by its time: the one in the hook that hangs, and those behind it. */
+    /** Each request gets its final answer by its deadline: the one in the hook that hangs, and those queued behind it. */
     @Test
     public void aHookThatHangsLeavesNoRequestWithoutItsAnswer() throws Exception {
         CountDownLatch open = new CountDownLatch(1);
@@ -87,7 +90,7 @@
             long from = System.nanoTime();
             first.send(request("ask", 500));
             second.send(request("send", 500));
-            chat.send(Site.chat("m-ask", true, "")); // whose time is 2 s
+            chat.send(Site.chat("m-ask", true, "")); // with a deadline of 2 s
             assertEquals(first.read().status(), 504);
             assertEquals(second.read().status(), 504);
             assertTrue(System.nanoTime() - from < 1_000_000_000L);
@@ -95,7 +98,7 @@
             assertTrue(System.nanoTime() - from < 2_500_000_000L);
             open.countDown();
             assertEquals(first.send(request("ask", 5000)).read().status(), 200);
-            assertEquals(site.attempts(site.readers), 1); // nothing of those that were answered
+            assertEquals(site.attempts(site.readers), 1); // none for the requests that were already answered
         }
     }
 
@@ -128,7 +131,7 @@
         };
     }
 
-    /** A verdict on a request's class is none on whose it is. */
+    /** A plug-in that changes a request's class does not change its tenant. */
     @Test
     public void aRequestOfAnotherClassIsStillItsTenants() throws Exception {
         OtherSitesTest.tenantOverItsShare(List.of(hook(module(constant(1), 1))));
--- a/src/test/java/copperbeam/sockets/ReactorEndTest.java
+++ b/src/test/java/copperbeam/sockets/ReactorEndTest.java
@@ -17,17 +17,21 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
+/** Errors thrown by callbacks on a reactor's thread, which must not end the reactor. */
 public class ReactorEndTest {
-    private static final int NOBODY = 1; // a port at which none listens
+    private static final int NOBODY = 1; // a port on which nothing listens
     private static final String GET = "GET /%s HTTP/1.1\r\nHost: x\r\n\r\n";
 
-    /** As by a stack that is used up: it is answered and ends its own connection, and neither those beside it nor their reactor. */
+    /**
+     * An error in a handler, such as a stack overflow, is answered with 500 and closes its own connection, but neither other
+     * connections nor their reactor.
+     */
     @Test
     public void anErrorEndsItsConnectionAlone() throws Exception {
         try (HttpFrontServer server = new HttpFrontServer(
                 (call, reply) -> {
                     if (call.path().equals("/fails")) {
-                        throw new StackOverflowError("wanted");
+                        throw new StackOverflowError("thrown by the test");
                     }
                     reply.whole(200, "text/plain", Map.of(), new byte[0]);
                     return () -> {};
@@ -46,13 +50,16 @@
         }
     }
 
-    /** {@code up}: the one that is told of connections fails as one has come up, else as one has not. */
+    /** {@code connects}: the listener throws when the connection is established, else when the connect has failed. */
     @DataProvider
     public Object[][] failures() {
         return new Object[][] {{true}, {false}};
     }
 
-    /** As where a class can't be loaded, for lack of a descriptor: once no server was reached again. */
+    /**
+     * An error in a connection listener, such as a class that can't be loaded for lack of file descriptors. Guards against a
+     * reactor that ends by it, after which no server was reached again.
+     */
     @Test(dataProvider = "failures")
     public void anErrorOfWhoIsToldOfAConnectionLeavesItsReactorServing(boolean up) throws Exception {
         try (StandIn server = new StandIn((m, line) -> line.answer(200, ""));
@@ -63,12 +70,12 @@
                     up ? server.address() : new InetSocketAddress("127.0.0.1", NOBODY),
                     Duration.ofSeconds(5),
                     new Told(failed, () -> {
-                        throw new NoClassDefFoundError("wanted");
+                        throw new NoClassDefFoundError("thrown by the test");
                     }));
-            await("told", () -> failed.getCount() == 0);
+            await("the listener was called", () -> failed.getCount() == 0);
             CountDownLatch reached = new CountDownLatch(1);
             connector.connect(server.address(), Duration.ofSeconds(5), new Told(reached, () -> {}));
-            await("another is reached", () -> reached.getCount() == 0);
+            await("another connection is established", () -> reached.getCount() == 0);
         }
     }
 
--- a/src/test/java/copperbeam/sockets/ReadyProbe.java
+++ b/src/test/java/copperbeam/sockets/ReadyProbe.java
@@ -13,13 +13,15 @@
 import java.util.stream.IntStream;
 
 /**
- * No test: what a start costs in CPU until {@code /healthz} answers 200, and the first requests after it, by the
- * {@code run} line of deploy/balancer.toml, from the root and after a build.
+ * A measurement, not a test: the CPU and wall time that a start takes until {@code /healthz} answers 200, and the CPU time and
+ * latency of the first requests after it. Starts the program by the {@code run} line of deploy/balancer.toml; run it in the root
+ * of the repository after a build.
  *
  * <pre>java -cp target/test-classes:target/classes:... copperbeam.sockets.ReadyProbe STARTS SERVERS [WORD ...]</pre>
  *
- * Words: {@code silent} (the first call to discovery gets no answer), {@code door} (operators have one), {@code known}
- * (the configuration has the list, and it must be asked for), and options of the JVM, which begin with {@code -X}.
+ * Words: {@code silent} (the first call to discovery gets no answer), {@code door} (with an admin address for operators),
+ * {@code known} (the configuration contains the server list, and the list must be subscribed to), and JVM options, which begin
+ * with {@code -X}.
  */
 public final class ReadyProbe {
     private static final int REQUESTS = 20;
@@ -119,7 +121,7 @@
         }
     }
 
-    /** The first call for the whole list is never answered. */
+    /** Delays the first call by a minute, as long as the probe waits for a start; later calls go to {@code script} at once. */
     private static StandIn.Script first(StandIn.Script then) {
         int[] calls = {0};
         return (m, line) -> {
--- a/src/test/java/copperbeam/sockets/RecordTest.java
+++ b/src/test/java/copperbeam/sockets/RecordTest.java
@@ -15,7 +15,7 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-/** The recorder in a process of its own. */
+/** The recorder, in a program that runs in a process of its own. */
 public class RecordTest {
     @Test
     public void aSignalWritesWhatHappened() throws Exception {
@@ -53,7 +53,7 @@
         }
     }
 
-    /** What is off costs nothing at the start: its classes are not loaded. */
+    /** If recording is off it costs nothing at the start: its classes are not loaded. */
     @Test
     public void withoutItsClassesStayOut() throws Exception {
         Path classes = Files.createTempDirectory("classes").resolve("log");
--- a/src/test/java/copperbeam/sockets/ReleaseTest.java
+++ b/src/test/java/copperbeam/sockets/ReleaseTest.java
@@ -10,9 +10,12 @@
 import java.util.concurrent.atomic.AtomicLong;
 import org.testng.annotations.Test;
 
-/** What is held is let go in time though servers are silent or cut off; each order forced. */
+/** Read states are released in time although servers are silent or unreachable. The order of events is forced. */
 public class ReleaseTest {
-    /** Asked one after another the eleventh would hear it after 1.2 s; what failed has one second. */
+    /**
+     * After a failed request, a server must get the release within one second. If servers were asked one after another, the
+     * eleventh would get it only after 1.2 s.
+     */
     @Test
     public void aReleaseIsHeardThoughTheFirstTenAreSilent() throws Exception {
         try (Site site = new Site(1, 14);
@@ -36,14 +39,14 @@
                 }
             });
             assertEquals(client.send(request("send", 4000)).read().status(), 502);
-            await("heard", () -> heard.get() != 0);
+            await("a server has confirmed the release", () -> heard.get() != 0);
             assertTrue(heard.get() - failed.get() < 1_000_000_000L, "after " + (heard.get() - failed.get()) + " ns");
         }
     }
 
     /**
-     * The reader knows nothing of its client's going, and its read may yet end well: it is told once it can be, whoever heard
-     * the release before, and once more for a read that ends just then.
+     * The reader didn't learn that the client has left, and its read may still succeed. It gets the release as soon as it can
+     * be reached, even if another server has confirmed the release before, and once more in case its read ends just then.
      */
     @Test
     public void aReaderThatIsCutOffIsToldOnceItIsBack() throws Exception {
@@ -61,11 +64,11 @@
             };
             try (Line client = site.client()) {
                 client.send(request("ask", 60_000));
-                await("read", () -> reader.attempts() == 1);
+                await("the reader has the attempt", () -> reader.attempts() == 1);
             }
-            await("heard twice elsewhere", () -> site.writers.get(0).releases() >= 2);
+            await("the writer got the release twice", () -> site.writers.get(0).releases() >= 2);
             back.countDown();
-            await("told, and once more", () -> told.get() >= 2);
+            await("the reader got the release twice", () -> told.get() >= 2);
         }
     }
 }
--- a/src/test/java/copperbeam/sockets/ReloadTest.java
+++ b/src/test/java/copperbeam/sockets/ReloadTest.java
@@ -10,9 +10,9 @@
 import java.util.concurrent.CountDownLatch;
 import org.testng.annotations.Test;
 
-/** Signals to the program itself, in a process of its own. */
+/** Signals to the program, which runs in a process of its own. */
 public class ReloadTest {
-    /** The JVM takes no signal that its parent ignores: said at the start, before operators rely on it. */
+    /** The JVM does not handle a signal that its parent ignores: the program logs this at the start, before operators rely on it. */
     @Test
     public void anIgnoredHangupIsToldAtTheStart() throws Exception {
         for (String shell : List.of(":", "trap '' HUP")) {
@@ -25,8 +25,8 @@
         }
     }
 
-    /** Guards against the JVM's end on SIGHUP, and against a list that goes on coming from the old address. */
-    @SuppressWarnings("try") // the first address is closed in the middle
+    /** Guards against a JVM that ends on SIGHUP, and against a list that is still followed at the old address. */
+    @SuppressWarnings("try") // the first discovery address is closed in the middle of the test
     @Test
     public void aHangupMovesDiscoveryAndDisturbsNothing() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
@@ -57,12 +57,12 @@
 
                 conductor.configure("nowhere");
                 conductor.signal("HUP");
-                await("told by its key", () -> conductor.logged("discovery: 'nowhere'"));
+                await("the faulty key is logged", () -> conductor.logged("discovery: 'nowhere'"));
                 assertEquals(client.send(request("send", 5000)).read().status(), 200);
 
                 conductor.configure(third.host());
                 conductor.signal("HUP");
-                await("moved again", () -> third.seen.size() > 0);
+                await("discovery has moved again", () -> third.seen.size() > 0);
                 conductor.signal("HUP");
                 conductor.signal("TERM");
                 go.countDown();
--- a/src/test/java/copperbeam/sockets/RulesOnSocketsTest.java
+++ b/src/test/java/copperbeam/sockets/RulesOnSocketsTest.java
@@ -30,9 +30,9 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Each rule once, on real sockets. */
+/** The rules of the platform, tested on real sockets. */
 public class RulesOnSocketsTest {
-    private static final int SETTLED_MS = 50; // a kept connection carries no other call for 30
+    private static final int SETTLED_MS = 50; // longer than the 30 ms for which a kept connection rests before its next call
 
     private static final StandIn.Script SILENT = attempts((m, line) -> {});
 
@@ -58,7 +58,7 @@
         }
     }
 
-    /** Above HttpCore's first window and within the limit. */
+    /** The body is larger than HttpCore's initial input window and within the body limit. */
     @Test
     public void aLargeBodyIsPassedOnWhole() throws Exception {
         String body = "{\"a\":\"" + "x".repeat(250 * 1024) + "\"}";
@@ -91,7 +91,7 @@
         }
     }
 
-    /** Rule 1: silence everywhere still ends in one answer before the client gives up. */
+    /** Rule 1: a request whose server stays silent still gets one answer by its deadline. */
     @Test
     public void aSilentWriterIsAnsweredForInTime() throws Exception {
         try (Site site = new Site(1, 1);
@@ -99,7 +99,7 @@
             site.writers.get(0).script = SILENT;
             long from = System.nanoTime();
             assertEquals(client.send(request("send", 700)).read().status(), 504);
-            assertTrue(System.nanoTime() - from < 950_000_000L); // the rule's slack, and more for a busy machine
+            assertTrue(System.nanoTime() - from < 950_000_000L); // the deadline, the rule's slack, and some more for a busy machine
             await("closed", () -> site.writers.get(0).lines.get(0).ended);
         }
     }
@@ -129,7 +129,7 @@
         };
     }
 
-    /** Rule 2: what may have run is sent again only where the class allows it. */
+    /** Rule 2: a request that may have run is retried only if its class allows it. */
     @Test(dataProvider = "writersThatFail")
     public void onlyWhatIsHarmlessIsSentAgain(String requestClass, StandIn.Script first, int status, int writes)
             throws Exception {
@@ -146,7 +146,7 @@
         }
     }
 
-    /** A connection that is refused proves that nothing ran, so that even a send goes on. */
+    /** A refused connection proves that the request did not run, so that even an unsafe one is retried elsewhere. */
     @Test
     public void aRefusedConnectionIsTriedElsewhere() throws Exception {
         try (Site site = new Site(1, 2)) {
@@ -160,7 +160,7 @@
         }
     }
 
-    /** Guards against a second copy: the next attempt comes after the first one's connection is closed. */
+    /** Guards against two copies of a request at once: a retry starts only after the first attempt's connection is closed. */
     @Test
     public void neverTwoAttemptsAtOnce() throws Exception {
         try (Site site = new Site(1, 2);
@@ -174,7 +174,7 @@
                     first.set(line);
                     over.await();
                 } else {
-                    // asked of the system: a thread that waits for the close may be told of it late
+                    // asks the socket itself, as a thread blocked on it may notice the close late
                     closed.set(first.get().isClosed());
                     Site.write(m, line);
                 }
@@ -188,7 +188,7 @@
         }
     }
 
-    /** Rule 3, at once and not only after a second. */
+    /** Rule 3: a draining server gets no new request from the moment its drain is known, well before the second that is allowed. */
     @Test
     public void aDrainingServerGetsNothingNew() throws Exception {
         try (Site site = new Site(2, 1)) {
@@ -206,8 +206,8 @@
     }
 
     /**
-     * Rule 5. The release comes in the same reply of the module as the final answer and after it; it was once
-     * lost as the request had already been forgotten.
+     * Rule 5: a read state that no attempt needs is released within a second. The module orders the release in the same reply as
+     * the final answer, after it. Guards against losing the release because the request has already been removed.
      */
     @Test
     public void aStateIsLetGoWhenItsRequestFails() throws Exception {
@@ -222,8 +222,8 @@
     }
 
     /**
-     * Rule 5 with writers that have vanished: what is held is let go half the rule's second after the read, or once the
-     * connection that is then on its way has had its 250 ms.
+     * Rule 5 with unreachable writers: the read state is released half of the rule's second after the read, or once the connect
+     * that is then pending has had its timeout of 250 ms.
      */
     @Test
     public void aStateIsLetGoWhileConnectionsFailToComeUp() throws Exception {
@@ -245,7 +245,7 @@
         }
     }
 
-    /** A release is tried elsewhere where the server asked first does not answer. */
+    /** If the server does not answer the release, the release is tried at another server. */
     @Test
     public void aReleaseIsTakenElsewhere() throws Exception {
         try (Site site = new Site(1, 1);
@@ -271,7 +271,7 @@
                 await("read", () -> site.readers.get(0).attempts() == 1);
             }
             await("closed", () -> site.readers.get(0).lines.get(0).ended);
-            // the read may have ended well as its connection closed
+            // the second release comes after the close: the read may have completed just as its connection was closed
             await("released twice", () -> site.releases() >= 2);
             assertEquals(site.attempts(site.writers), 0);
         }
@@ -309,7 +309,7 @@
         }
     }
 
-    /** Guards against a queue without bounds: a client that does not read stops its server's stream. */
+    /** Guards against an unbounded queue: a client that does not read stops its server's stream by backpressure. */
     @Test
     public void aSlowClientHoldsItsServerBack() throws Exception {
         try (Site site = new Site(1, 1);
@@ -349,7 +349,7 @@
         }
     }
 
-    /** Guards against writing on a connection as its server closes it: kept for half of the limit only. */
+    /** Guards against writing on a connection while its server closes it: connections are kept for half of the idle limit only. */
     @Test
     public void idleConnectionsAreClosedEarly() throws Exception {
         try (Site site = new Site(1, 1, 2);
@@ -361,7 +361,7 @@
         }
     }
 
-    /** A clock that a test moves on. */
+    /** The system clock plus an offset that the test sets. */
     private static final class Ahead extends Clock {
         volatile Duration by = Duration.ZERO;
 
@@ -381,13 +381,16 @@
         }
     }
 
-    /** Guards the limit on descriptors: an idle connection makes room, and without one a request is refused. */
+    /**
+     * Guards the limit on file descriptors: at the limit an idle connection is closed to make room, and if there is none the
+     * request is refused.
+     */
     @Test
     public void clientsBeyondTheLimitMakeRoomOrAreRefused() throws Exception {
         List<CountDownLatch> go =
-                Stream.generate(() -> new CountDownLatch(1)).limit(5).toList(); // by arrival
+                Stream.generate(() -> new CountDownLatch(1)).limit(5).toList(); // in order of arrival
         AtomicInteger slowOnes = new AtomicInteger();
-        AtomicInteger ended = new AtomicInteger(); // of these, in the conductor's books too
+        AtomicInteger ended = new AtomicInteger(); // slow requests that the server also counts as ended
         Ahead clock = new Ahead();
         ClientRoom room = new ClientRoom(4, 1 << 20);
         try (HttpFrontServer server = new HttpFrontServer(
@@ -419,21 +422,21 @@
                 all.add(new Line(at).send(slow));
                 await("busy " + i, () -> slowOnes.get() == busy);
             }
-            clock.by = Duration.ofSeconds(3); // the idle one has stood long enough; nine are taken, two a request
+            clock.by = Duration.ofSeconds(3); // idle long enough to be closed; 9 descriptors (1 idle, 2 per request) exceed the limit of 8
             Line.Message refused = new Line(at).send(slow).read();
             assertEquals(refused.status(), 503);
             assertEquals(refused.header("Retry-After"), "1");
             assertTrue(idle.awaitClosed());
-            // one after another, as each that closes makes place: the last two find half of it free
+            // one after another, as each that closes makes room: the last two find half of it free
             for (int i = 0; i < 4; i++) {
                 int left = 4 - i;
-                // a client may have its answer, and its connection be closed, before the thread that answered counts it
-                // as ended
+                // a client may have its answer, and its connection may be closed, before the thread that answered counts
+                // the request as ended
                 await("those before have left", () -> room.size() == left && ended.get() == 4 - left);
                 go.get(i).countDown();
                 Line.Message answer = all.get(i + 1).read();
                 assertEquals(answer.status(), 200);
-                assertEquals(answer.header("Connection"), i < 2 ? "close" : null, "where more than half is taken");
+                assertEquals(answer.header("Connection"), i < 2 ? "close" : null, "closed while more than half is in use");
                 if (i >= 2) {
                     all.get(i + 1).close();
                 }
@@ -482,7 +485,10 @@
         }
     }
 
-    /** SIGTERM's work: what was taken is answered, connections close, and what comes for a while is taken too. */
+    /**
+     * What SIGTERM triggers: accepted requests are answered, connections are closed, and requests that arrive for a while after
+     * the signal are still served.
+     */
     @Test
     public void aStopAnswersWhatWasTaken() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
@@ -514,7 +520,7 @@
         }
     }
 
-    /** Guards against a kill that finds requests open: what would last longer is given its end in time. */
+    /** Guards against requests that are still open at the kill: those that would last longer are ended in time. */
     @Test
     public void aStopHandsOverWhatWouldLastTooLong() throws Exception {
         try (Site site = new Site(1, 1);
@@ -528,7 +534,7 @@
             writer.script = attempts((m, line) -> {
                 line.beginStream().chunk("data: 1\n\n");
                 await(
-                        "its end",
+                        "the stop, after which only the stream of request kept ends",
                         () -> m.header("X-Request-ID").equals("kept")
                                 && site.get("/healthz").status() == 503);
                 line.lastChunk();
@@ -544,19 +550,19 @@
             await("read", () -> site.attempts(site.readers) == 4);
             rest.send(request("rest", "send", "60000m", "", "{}")
                     .replace("X-Route-Key", "X-Retried: again\r\nX-Route-Key"));
-            await("read too", () -> site.attempts(site.readers) == 5);
+            await("the fifth read is sent", () -> site.attempts(site.readers) == 5);
             unread.send(request("unread", "send", "60000m", "", "{}"));
-            await("and this", () -> site.attempts(site.readers) == 6);
+            await("the sixth read is sent", () -> site.attempts(site.readers) == 6);
             long from = System.nanoTime();
             Thread stop = site.beginStop();
-            // begun before the stop, so that its head promised more
+            // the stream began before the stop, so that its head has no "Connection: close"
             assertEquals(kept.readChunk(), "data: 1\n\n");
             assertNull(kept.readChunk());
             assertTrue(kept.awaitClosed());
             assertEquals(read.read().status(), 503);
             assertEquals(write.read().status(), 502);
             assertEquals(unread.read().status(), 503);
-            assertEquals(rest.read().status(), 502, "the rest of a stream that broke has run");
+            assertEquals(rest.read().status(), 502, "the client asks for the rest of a broken stream, so that the request has run");
             assertEquals(stream.readChunk(), "data: 1\n\n");
             assertEquals(stream.readChunk(), "");
             stop.join(Line.PATIENCE_MS);
@@ -565,7 +571,10 @@
         }
     }
 
-    /** Guards what must not run twice: on a kept connection that its server resets, it would have failed. */
+    /**
+     * Requests that must not run twice use a new connection: on a kept connection that the server resets they would fail, as
+     * they cannot be retried.
+     */
     @Test
     public void whatMustNotRunTwiceRisksNoKeptConnection() throws Exception {
         try (Site site = new Site(1, 1);
@@ -584,13 +593,16 @@
             }
             assertEquals(writer.attempts(), 3);
             Thread.sleep(SETTLED_MS);
-            // one that may run twice takes the risk, and is sent again
+            // one that may run twice uses a kept connection, and is retried after the reset
             assertEquals(client.send(request("ask", 4000)).read().status(), 200);
             assertEquals(writer.attempts(), 5);
         }
     }
 
-    /** Servers may close what is idle sooner than the settings say. */
+    /**
+     * Servers may close idle connections sooner than the settings say; the conductor then keeps connections for half of the time
+     * it has observed.
+     */
     @Test
     public void connectionsAreKeptForHalfOfWhatTheirServerBears() throws Exception {
         try (Site site = new Site(1, 1);
@@ -602,7 +614,7 @@
             reader.lines.get(0).close();
             pause();
             assertEquals(client.send(request("ask", 4000)).read().status(), 200);
-            await("closed by us", () -> reader.lines.size() == 2 && reader.lines.get(1).ended);
+            await("closed by the conductor", () -> reader.lines.size() == 2 && reader.lines.get(1).ended);
         }
     }
 }
--- a/src/test/java/copperbeam/sockets/SilentWatchTest.java
+++ b/src/test/java/copperbeam/sockets/SilentWatchTest.java
@@ -18,7 +18,7 @@
 import java.util.concurrent.ScheduledExecutorService;
 import org.testng.annotations.Test;
 
-/** One watch on sockets, begun anew after a silence. */
+/** A watch over real sockets, which is repeated after a silence or a failure. */
 public class SilentWatchTest {
     private static final String ENTRY = "\n  {\n    \"id\" : \"a\",\r\n\t\"addr\" : \"127.0.0.1:1\",\n\n"
             + "    \"zone\" : \"z\", \"kind\" : \"k\", \"state\" : \"%s\"\n  }\n";
@@ -29,9 +29,9 @@
     }
 
     /**
-     * A watch answered by half, of which a byte comes now and then, and a refusal on the connection that is made
-     * beside it. Guards against the dribbling call, which is taken for one that still hears, and against lists whose
-     * indentation is not read.
+     * A watch gets half an answer that goes on by a byte now and then, and the next connection is closed without an answer.
+     * Guards against treating the trickling call as a working watch, and against lists whose indentation can't be
+     * parsed.
      */
     @Test
     public void halfAnAnswerAndARefusalHideNoDrain() throws Exception {
@@ -59,7 +59,7 @@
                     turns, new PlainHttpClient(reactor), Clock.systemUTC(), agent.address(), null, false, backoff);
             watch.start(change -> heard.addAll(change.entries()));
             await("listed", () -> heard.size() == 1);
-            await("asked", () -> agent.seen.size() >= 2);
+            await("the watch is called", () -> agent.seen.size() >= 2);
             long from = System.nanoTime();
             await("the drain", () -> heard.stream().anyMatch(e -> e.member().state() == ServerState.DRAINING));
             assertTrue(System.nanoTime() - from < 5_000_000_000L, "by far sooner than 6 s after the silence began");
@@ -70,7 +70,10 @@
         }
     }
 
-    /** What fails on one change of the list, as a JVM without descriptors may, ends neither the watch nor the next change. */
+    /**
+     * An error while a change of the list is applied, such as a class that can't be loaded for lack of file descriptors,
+     * ends neither the watch nor the next change.
+     */
     @Test
     public void aFailureOnOneChangeEndsNoWatch() throws Exception {
         ScheduledExecutorService turns = Executors.newSingleThreadScheduledExecutor();
@@ -86,7 +89,7 @@
                     turns, new PlainHttpClient(reactor), Clock.systemUTC(), agent.address(), null, false, backoff);
             watch.start(change -> {
                 if (agent.seen.size() == 1) {
-                    throw new NoClassDefFoundError("as planned");
+                    throw new NoClassDefFoundError("thrown by the test");
                 }
                 heard.addAll(change.entries());
             });
--- a/src/test/java/copperbeam/sockets/Site.java
+++ b/src/test/java/copperbeam/sockets/Site.java
@@ -17,7 +17,10 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
 
-/** A conductor between stand-ins: discovery, readers that read and writers that write, unless a test rescripts them. */
+/**
+ * A conductor that runs in this process, with stand-ins for discovery, readers and writers. The servers answer every request
+ * with success unless a test replaces their scripts.
+ */
 final class Site implements AutoCloseable {
     static final String EVENTS = """
             data: {"choices":[{"index":0,"delta":{"content":"ab"},"finish_reason":null}]}
@@ -61,7 +64,7 @@
         this(readerCount, writerCount, 30, null, List.of(), limits);
     }
 
-    /** {@code etcd} null: the list comes by the platform's discovery. */
+    /** {@code etcd} null: the server list comes from the platform's discovery service. */
     Site(int readerCount, int writerCount, double idleS, Config.Etcd etcd, List<RequestHook> hooks) throws Exception {
         this(readerCount, writerCount, idleS, etcd, hooks, Config.Limits.USUAL);
     }
@@ -143,7 +146,7 @@
         }
     }
 
-    /** A release is heard, anything else goes by the script. */
+    /** Accepts releases (DELETE) and leaves all other requests to {@code script}. */
     static StandIn.Script attempts(StandIn.Script script) {
         return (m, line) -> {
             if (m.method().equals("DELETE")) {
@@ -210,7 +213,7 @@
         return "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
-    /** The returned ends with the stop. */
+    /** Stops the node on a new thread, which ends when the stop is complete. */
     Thread beginStop() {
         Thread stop = new Thread(() -> {
             try {
@@ -248,7 +251,7 @@
         long until = System.nanoTime() + patienceMs * 1_000_000L;
         while (!condition.getAsBoolean()) {
             if (System.nanoTime() > until) {
-                throw new AssertionError("never: " + what);
+                throw new AssertionError("timed out waiting for: " + what);
             }
             Thread.sleep(5);
         }
--- a/src/test/java/copperbeam/sockets/SpoiltAnswersTest.java
+++ b/src/test/java/copperbeam/sockets/SpoiltAnswersTest.java
@@ -24,22 +24,22 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Servers whose answers can't be read, or bring more than belongs to them. Their connections stay open. */
+/** Servers that send a malformed answer, or more bytes than belong to it, and keep the connection open. */
 public class SpoiltAnswersTest {
     private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n";
     private static final String FIRST = "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"ab\"}}]}\n\n";
 
-    private static final int SETTLING_MS = 30;
-    private static final int SETTLED_MS = 50; // a kept connection carries no other call for 30
+    private static final int SETTLING_MS = 30; // for which a kept connection rests before its next call
+    private static final int SETTLED_MS = 50; // longer than the 30 ms for which a kept connection rests before its next call
 
     private static final int MOST_HELD =
-            128 * 1024; // events of 0.9 KB: more than all buffers of the system between them
+            128 * 1024; // number of 0.9 KB events; together more than all socket buffers on the way hold
 
     private static String chunk(String text) {
         return Integer.toHexString(text.length()) + "\r\n" + text + "\r\n";
     }
 
-    /** Each with either front. */
+    /** Each row twice: for the platform's API and for the OpenAI API. */
     private static Object[][] withFronts(Object[]... cases) {
         List<Object[]> all = new ArrayList<>();
         for (Object[] one : cases) {
@@ -72,7 +72,10 @@
         });
     }
 
-    /** Nothing is given up for its silence: cancels are forbidden, and an attempt's time is longer than a test's patience. */
+    /**
+     * A node that abandons no silent attempt within a test: cancels are forbidden, and attempts time out later than the
+     * test's own reads ({@link RawConnection#TIMEOUT_MS}).
+     */
     private static Node patient(StandIn discovery) throws Exception {
         Api.Settings settings =
                 Site.parsed(String.format(Site.SETTINGS, 30).replace("\"cancel\":true", "\"cancel\":false"));
@@ -95,7 +98,10 @@
                 new Config.Operator(any, models, null, List.of())));
     }
 
-    /** Spoilt before the first event: an attempt that failed and may have run, by what was sent and not by its silence. */
+    /**
+     * An answer that is malformed before its first event: the attempt fails because of the bytes sent, without waiting for
+     * a timeout. It may have run, so that only the safe class is retried.
+     */
     @Test(dataProvider = "openings")
     public void aSpoiltOpeningIsAFailedAttempt(String name, String opening, boolean chat) throws Exception {
         AtomicInteger turn = new AtomicInteger();
@@ -122,7 +128,7 @@
                     assertEquals(client.read().status(), requestClass.equals("ask") ? 200 : 502);
                 }
                 assertEquals(turn.get(), requestClass.equals("ask") ? 2 : 1);
-                await("its connection is closed", () -> spoilt.get(0).ended);
+                await("the connection of the malformed answer is closed", () -> spoilt.get(0).ended);
             }
         }
     }
@@ -142,7 +148,10 @@
         return all.toArray(Object[][]::new);
     }
 
-    /** A word that is not its role's: an attempt that failed and may have run, and nothing of it is passed on. */
+    /**
+     * A status that servers of this role don't use: the attempt failed and may have run, and nothing of its answer is
+     * forwarded.
+     */
     @Test(dataProvider = "words")
     public void aWordOfAnotherRoleIsAFailedAttempt(int status, boolean reads) throws Exception {
         String bad = status == 204 || status == 304
@@ -151,7 +160,7 @@
                         + chunk("data: bad\n\n") + "0\r\n\r\n";
         try (Site site = new Site(2, 2)) {
             for (String requestClass : List.of("ask", "send")) {
-                boolean harmless = reads || requestClass.equals("ask"); // what a reader does has no effect
+                boolean harmless = reads || requestClass.equals("ask"); // a read may be repeated in every class
                 AtomicInteger turn = new AtomicInteger();
                 List<StandIn> all = reads ? site.readers : site.writers;
                 StandIn.Script good = reads ? Site::read : Site::write;
@@ -194,7 +203,7 @@
         return new Object[][] {{503, true}, {503, false}, {504, true}, {504, false}, {410, true}, {410, false}};
     }
 
-    /** Its head says that nothing ran, so that what must not run twice is sent again, whatever becomes of the body. */
+    /** The head of a refusal says that nothing ran: even an unsafe request is sent again, whatever happens to the body. */
     @Test(dataProvider = "refusals")
     public void aRefusalWithoutItsEndHasNotRun(int status, boolean closes) throws Exception {
         AtomicInteger turn = new AtomicInteger();
@@ -216,7 +225,10 @@
         }
     }
 
-    /** Guards against one that waits for as long as its client: what else than a refusal may have run. */
+    /**
+     * Guards against waiting for the rest of an error body until the client's deadline. An attempt that was answered with
+     * any error but a refusal may have run.
+     */
     @Test
     public void anErrorThatDoesNotEndIsAFailedAttempt() throws Exception {
         try (Site site = new Site(1, 1);
@@ -231,7 +243,10 @@
         }
     }
 
-    /** Spoilt later: the client's connection ends, without the last chunk and without what no server sent. */
+    /**
+     * A stream that becomes malformed after its first event: the client's connection ends without the last chunk, and the
+     * client gets no data but what the server sent as data.
+     */
     @Test(dataProvider = "middles")
     public void aStreamSpoiltLaterEndsItsClientsConnection(String name, String middle, boolean chat) throws Exception {
         try (Site site = new Site(1, 1)) {
@@ -262,7 +277,10 @@
         });
     }
 
-    /** More than belongs to an answer does no harm, and what follows one is taken for no other. */
+    /**
+     * Interim responses, an odd load report and bytes after the end do no harm, and bytes after an answer are not taken
+     * for the answer to the next request.
+     */
     @Test(dataProvider = "good")
     public void aGoodStreamWithMoreAroundItIsServed(String name, String answer, boolean chat) throws Exception {
         try (Site site = new Site(1, 1)) {
@@ -280,7 +298,10 @@
         }
     }
 
-    /** Some milliseconds behind the first, on either side of the next request: that gets its own answer. */
+    /**
+     * The server sends a surplus second answer some milliseconds after the first, before or after the next request
+     * arrives: that request gets its own answer.
+     */
     @Test
     public void aLateSecondAnswerIsPassedOnToNobody() throws Exception {
         int inTime = 0;
@@ -303,10 +324,10 @@
                 });
                 assertEquals(client.send(request("ask", 4000)).read().text(), "data: 1\n\n");
                 String next = client.send(request("ask", 4000)).read().text();
-                await("its second answer was sent", () -> tookMs.get() > 0);
+                await("the surplus answer was sent", () -> tookMs.get() > 0);
                 if (tookMs.get()
-                        < SETTLING_MS) { // else the machine was busy, and it came later than this guards against
-                    assertEquals(next, "data: 2\n\n", behindMs + " ms behind");
+                        < SETTLING_MS) { // else it was sent too late on a busy machine, and proves nothing
+                    assertEquals(next, "data: 2\n\n", behindMs + " ms after the first answer");
                     inTime++;
                 }
             }
@@ -314,11 +335,14 @@
         assertEquals(inTime, 10);
     }
 
-    /** On a kept connection, before the next request, as it is written or as it waits for its last byte: none is spent on it. */
+    /**
+     * Half a line arrives on a kept connection before the next request, while that is written or while its last byte is
+     * held back: no attempt is used up.
+     */
     @Test
     public void halfALineOnAKeptConnectionCostsNoAttempt() throws Exception {
         List<Line> carried =
-                new CopyOnWriteArrayList<>(); // an attempt; the newest connection may be one that came up late
+                new CopyOnWriteArrayList<>(); // connections with an attempt; others may be established late and stay unused
         try (Site site = new Site(1, 1);
                 Line client = site.client()) {
             site.readers.get(0).script = attempts((m, line) -> {
@@ -345,7 +369,7 @@
         };
     }
 
-    /** Of half a line at a close nothing is passed on, and the client sees that its stream is not whole. */
+    /** The connection closes within an event: nothing of the event is forwarded, and the client sees a truncated stream. */
     @Test(dataProvider = "halves")
     public void halfALineAtACloseIsNotPassedOn(String name, String half) throws Exception {
         try (Site site = new Site(1, 1)) {
@@ -362,7 +386,10 @@
         }
     }
 
-    /** Guards against an event lost beside the break of its stream, and with it a stream taken for none. */
+    /**
+     * Guards against the loss of an event that arrives together with the break of its stream: without it, the stream would
+     * look as if it had not begun.
+     */
     @Test
     public void anEventBesideABreakIsPassedOn() throws Exception {
         try (Site site = new Site(1, 1);
@@ -377,7 +404,10 @@
         }
     }
 
-    /** Guards the memory: a client that takes nothing holds up a server that sends without end, and loses nothing by it. */
+    /**
+     * Guards against unbounded buffering: if the client reads nothing, flow control stops a server that sends without end,
+     * and no event is lost.
+     */
     @Test
     public void aFloodThatNobodyTakesIsHeldUp() throws Exception {
         try (Site site = new Site(1, 1);
@@ -392,9 +422,9 @@
             });
             client.send(request("ask", 4000));
             long[] still = {0, System.nanoTime()};
-            await("held up", 3 * Line.PATIENCE_MS, () -> {
+            await("the server is stopped by flow control", 3 * Line.PATIENCE_MS, () -> {
                 int now = sent.get();
-                assertTrue(now < MOST_HELD, "not held up: " + now);
+                assertTrue(now < MOST_HELD, "not stopped by flow control; events sent: " + now);
                 if (now != still[0]) {
                     still[0] = now;
                     still[1] = System.nanoTime();
--- a/src/test/java/copperbeam/sockets/StandIn.java
+++ b/src/test/java/copperbeam/sockets/StandIn.java
@@ -10,14 +10,14 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.function.Predicate;
 
-/** A server of the other side, by its published protocol: it does what the test's script says and notes the rest. */
+/** A fake server that answers as the test's script says and records all requests and connections. */
 final class StandIn implements AutoCloseable {
-    /** Answers one request; what it throws ends the connection. */
+    /** Answers one request; an exception closes the connection. */
     interface Script {
         void run(Line.Message request, Line line) throws Exception;
     }
 
-    /** What a new connection meets first; what it throws ends the connection. */
+    /** Runs on a new connection before its first request is read; an exception closes the connection. */
     interface Opening {
         void take(Line line) throws Exception;
     }
@@ -33,7 +33,10 @@
         open();
     }
 
-    /** Takes no connection before {@link #open}: the kernel holds {@code backlog} and one more, and lets others wait. */
+    /**
+     * Accepts no connection before {@link #startAccepting}: until then the kernel queues {@code backlog} connections and one
+     * more, and the connects of others stay pending.
+     */
     StandIn(Script script, int backlog) throws IOException {
         this.script = script;
         socket = new ServerSocket(0, backlog, InetAddress.getByName("127.0.0.1"));
@@ -47,7 +50,10 @@
         this.socket = socket;
     }
 
-    /** Connections to it never come up, as to a machine that has vanished: the system drops what its full queue can't take. */
+    /**
+     * A server to which no connect succeeds or is refused, like a machine that is down: its accept queue is full, so that the
+     * kernel drops further SYNs.
+     */
     static StandIn vanished() throws IOException {
         StandIn gone = new StandIn(new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1")));
         while (true) {
@@ -72,7 +78,7 @@
                 start(() -> serve(next));
             }
         } catch (IOException e) {
-            // closed
+            // the server socket was closed
         }
     }
 
@@ -88,7 +94,7 @@
                 script.run(request, line);
             }
         } catch (Exception e) {
-            // the script or the other side has ended it
+            // the script or the peer ended the connection
         } finally {
             close(line);
         }
@@ -98,7 +104,7 @@
         try {
             line.close();
         } catch (IOException e) {
-            // as good as closed
+            // treated as closed
         }
         line.ended = true;
     }
--- a/src/test/java/copperbeam/sockets/StopSeedsTest.java
+++ b/src/test/java/copperbeam/sockets/StopSeedsTest.java
@@ -20,14 +20,14 @@
 import org.testng.annotations.Test;
 
 /**
- * Requests that come at any moment of a stop, on new connections and kept ones, whole and in pieces, before servers that are
- * slow, refuse, fail or reset: each that was read has its one answer, and none is sent on after it.
+ * Requests that arrive at any moment of a stop, on new and kept connections, in one write or in pieces, with servers that are
+ * slow, refuse, fail or reset: each request that was read gets exactly one answer, and no attempt starts after that.
  */
 public class StopSeedsTest {
     private static final int CLIENTS = Integer.getInteger("stop.clients", 60);
-    private static final int ON_ITS_WAY_MS = 1000; // a busy machine was seen to read here 0.37 s after the write
-    private static final int LAST_NEW_MS = 400; // after SIGTERM; so long new connections keep coming
-    private static final int[] DEADLINES_MS = {300, 2500, 8000}; // of all requests of a seed
+    private static final int ON_ITS_WAY_MS = 1000; // a stand-in on a busy machine may read an attempt this long after it was written
+    private static final int LAST_NEW_MS = 400; // after SIGTERM; clients open no new connections later than that
+    private static final int[] DEADLINES_MS = {300, 2500, 8000}; // one for all requests of a seed
 
     /** A longer search: {@code -Dstop.first=1 -Dstop.seeds=30 -Dstop.clients=120}. */
     @DataProvider
@@ -44,7 +44,7 @@
     private final ConcurrentLinkedQueue<String> faults = new ConcurrentLinkedQueue<>();
     private final AtomicInteger answered = new AtomicInteger();
     private final AtomicInteger resent = new AtomicInteger();
-    private volatile long termAt; // SIGTERM, of System.nanoTime
+    private volatile long termAt; // time of SIGTERM by System.nanoTime
     private int deadlineMs;
     private int killMs; // after SIGTERM
     private boolean resume;
@@ -108,7 +108,7 @@
             Long over = answeredAt.get(m.header("X-Request-ID"));
             long late = over == null ? 0 : (System.nanoTime() - over) / 1_000_000;
             if (late > ON_ITS_WAY_MS) {
-                faults.add("sent on " + late + " ms after its end: " + m.header("X-Request-ID"));
+                faults.add("attempt " + late + " ms after the final answer: " + m.header("X-Request-ID"));
             }
             int draw = random.nextInt(20);
             Thread.sleep(random.nextInt(reader ? 60 : 400));
@@ -130,6 +130,12 @@
         }));
     }
 
+    /**
+     * Opens connections until {@link #NEW_CONNECTIONS_UNTIL_MS} after SIGTERM, and sends requests on each until it closes. Kind 0
+     * begins 600 ms before SIGTERM and connects again after each close; kind 1 opens a single connection between 600 ms before
+     * and 400 ms after SIGTERM; kind 2 begins 300 to 800 ms before SIGTERM, connects again too, and pauses for up to 1.5 s before
+     * each request instead of up to 120 ms.
+     */
     private void client(Conductor conductor, Random random, int kind, String name) {
         try {
             int first = kind == 0 ? -600 : kind == 1 ? random.nextInt(1000) - 600 : random.nextInt(500) - 800;
@@ -151,11 +157,11 @@
                 }
             }
         } catch (InterruptedException | IOException e) {
-            // the address is given up, or the process is gone
+            // the process no longer listens, or has ended
         }
     }
 
-    /** Whether the connection may be used again. */
+    /** Sends a request and checks its answer; true if the connection may be used again. */
     private boolean ask(Line line, Random random, String id) throws InterruptedException {
         String text = request(
                 id, random.nextBoolean() ? "ask" : "send", deadlineMs + "m", "prompt_len=40,max_out=9", "{\"a\":1}");
@@ -170,7 +176,7 @@
             sentAt = System.nanoTime();
             if (random.nextInt(6) == 0) {
                 Thread.sleep(random.nextInt(200));
-                answeredAt.put(id, System.nanoTime()); // gone
+                answeredAt.put(id, System.nanoTime()); // the client closes without reading the answer
                 return false;
             }
             Line.Message answer = line.read();
@@ -186,12 +192,15 @@
             if (sentAt > 0 && !(e instanceof SocketException)) {
                 faults.add("no answer: " + id + " " + e);
             }
-            resent.incrementAndGet(); // unread: a reset
+            resent.incrementAndGet(); // a reset: the request was not read
             return false;
         }
     }
 
-    /** A stream may be cut where clients ask for the rest, and by the kill if its request came early. */
+    /**
+     * A stream may be cut if clients can resume it, or by the kill if the request came early (up to 700 ms after SIGTERM);
+     * everything else is a fault.
+     */
     private void cut(Line.Message answer, String id, long sentAt) {
         if (answer.status() != 200 || answer.whole() || resume) {
             return;
@@ -203,7 +212,10 @@
         }
     }
 
-    /** An end without an answer: a reset follows where the request was not read. */
+    /**
+     * The connection ended without an answer, which is right only if the request was not read: the next write then meets a
+     * reset.
+     */
     private void ended(Line line, String id, long sentAt) throws InterruptedException {
         resent.incrementAndGet();
         try {
@@ -212,7 +224,7 @@
             faults.add("read and closed without an answer: " + id + ", " + (sentAt - termAt) / 1_000_000
                     + " ms after SIGTERM");
         } catch (IOException e) {
-            // it was not read
+            // reset: the request was not read
         }
     }
 
--- a/src/test/java/copperbeam/sockets/UpgradeTest.java
+++ b/src/test/java/copperbeam/sockets/UpgradeTest.java
@@ -29,7 +29,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Several processes of one conductor, what happens to them, and what clients and servers see of it. */
+/** Upgrades: several processes of one conductor, failures among them, and what clients and servers notice. */
 public class UpgradeTest {
     private static final int STREAM_MS = 100;
     private static final String BEAT = "data: beat\n\n";
@@ -39,8 +39,8 @@
         final StandIn reader = new StandIn(Site::read);
         final List<StandIn> writers = new ArrayList<>();
         final StandIn discovery;
-        final CountDownLatch told = new CountDownLatch(1); // what lateDiscovery waits for
-        private volatile CountDownLatch held = new CountDownLatch(1); // what streams of requests "held..." wait for
+        final CountDownLatch told = new CountDownLatch(1); // opened when lateDiscovery may answer
+        private volatile CountDownLatch held = new CountDownLatch(1); // opened when the streams of requests "held..." may end
         final Path folder = Files.createTempDirectory("conductor");
         final List<Conductor> all = new ArrayList<>();
         private final Path operator = folder.resolve("operator.json");
@@ -51,7 +51,7 @@
                 writers.add(new StandIn(attempts(this::write)));
             }
             discovery = Conductor.discovery(reader, writers.toArray(StandIn[]::new));
-            // a stop that waits for what the test holds, so that no verdict hangs on the machine's speed
+            // a stop that waits for the streams that the test holds, so that the result does not depend on the machine's speed
             Files.writeString(operator, "{\"stop\":{\"within_s\":40}}");
         }
 
@@ -59,7 +59,7 @@
             line.beginStream().chunk("data: first\n\n");
             if (m.header("X-Request-ID").startsWith("held")) {
                 while (!held.await(200, TimeUnit.MILLISECONDS)) {
-                    line.chunk(BEAT); // a stream that is silent for 4 s is broken off
+                    line.chunk(BEAT); // a stream without data for 4 s is aborted
                 }
             } else if (m.header("X-Request-ID").startsWith("load")) {
                 Thread.sleep(STREAM_MS);
@@ -73,12 +73,12 @@
             return all.get(all.size() - 1);
         }
 
-        /** Ready, and the one before has given the address up. */
+        /** Starts a process and waits until it is ready and the one before has stopped listening. */
         Conductor next() throws Exception {
             return alone(start(discovery));
         }
 
-        /** Started, known to the others, and without a list before {@link #told} is open. */
+        /** Starts a process that the others know of, and that gets no server list before {@link #listAvailable} is open. */
         Conductor late() throws Exception {
             lateDiscovery = Conductor.discovery(reader, writers.toArray(StandIn[]::new));
             StandIn.Script list = lateDiscovery.script;
@@ -87,13 +87,13 @@
                 list.run(m, line);
             };
             Conductor late = start(lateDiscovery);
-            await("at its door", Conductor.START_MS, () -> late.call("PING").equals("NAK not ready\n"));
+            await("answers at its admin address", Conductor.START_MS, () -> late.call("PING").equals("NAK not ready\n"));
             return late;
         }
 
         Conductor alone(Conductor one) throws Exception {
             one.awaitReady();
-            await("alone at the address", () -> one.listeners() == 1);
+            await("the only listener at the address", () -> one.listeners() == 1);
             return one;
         }
 
@@ -101,7 +101,7 @@
             return new Line(all.get(0).address);
         }
 
-        /** A stream that stands after its first event. */
+        /** Opens a stream that gets its first event and then only heartbeats. */
         Line hold() throws Exception {
             Line client = client();
             client.send(request("held" + System.nanoTime(), "ask", "60000m", "prompt_len=40", "{}"))
@@ -110,7 +110,7 @@
             return client;
         }
 
-        /** Held streams go on, and come whole. */
+        /** Lets held streams go on, and checks that each arrives complete. */
         void release(Line... streams) throws IOException {
             held.countDown();
             for (Line stream : streams) {
@@ -124,7 +124,7 @@
             held = new CountDownLatch(1);
         }
 
-        /** Of the processes, as any of them reads it. */
+        /** The phases of the processes, from the shared state file. */
         List<SharedState.Phase> phases() {
             try {
                 return StateCodec.read(Conductor.NAME, Files.readAllBytes(folder.resolve(Conductor.NAME + ".state")))
@@ -138,7 +138,7 @@
             }
         }
 
-        /** {@code count} requests on new connections, each answered whole. */
+        /** Sends {@code count} requests, each on a new connection, and checks that each is answered. */
         void ask(int count) throws Exception {
             for (int i = 0; i < count; i++) {
                 try (Line client = client()) {
@@ -147,11 +147,11 @@
             }
         }
 
-        /** A server that is out gets nothing while others do. */
+        /** Checks that a banned server gets no request while other servers do. */
         void holdsOut(StandIn out) throws Exception {
             long before = out.attempts();
             ask(10);
-            assertEquals(out.attempts(), before, "sent to a server that is out");
+            assertEquals(out.attempts(), before, "sent to a banned server");
         }
 
         void usesAgain(StandIn server) throws Exception {
@@ -166,7 +166,7 @@
             });
         }
 
-        /** What it counts from now on is what clients and servers count. */
+        /** Checks that the process's metrics agree with what clients and servers count from now on. */
         void countsTruly(Conductor one) throws Exception {
             Map<String, Long> before = metrics(one.door);
             long sent = sent();
@@ -196,7 +196,7 @@
         }
     }
 
-    /** Clients that ask and send without a pause, some on a connection each, some on a new one for each request. */
+    /** Clients that send requests without a pause, half of them on one kept connection, half on a new one for each request. */
     private static final class Load {
         private static final int CLIENTS = 6;
         final List<String> faults = new CopyOnWriteArrayList<>();
@@ -259,7 +259,7 @@
     }
 
     private static void endsByItself(Conductor one) throws Exception {
-        assertTrue(one.process.waitFor(Line.PATIENCE_MS, TimeUnit.MILLISECONDS), "it goes on");
+        assertTrue(one.process.waitFor(Line.PATIENCE_MS, TimeUnit.MILLISECONDS), "the process did not end");
         assertEquals(one.process.exitValue(), 0);
     }
 
@@ -267,7 +267,7 @@
         return "s" + server.address().getPort();
     }
 
-    /** Three processes, each in place of the one before, and clients that see nothing of it. */
+    /** Three processes, each of which replaces the one before, without an effect on clients. */
     @Test
     public void clientsSeeNothingOfUpgrades() throws Exception {
         try (Fleet fleet = new Fleet()) {
@@ -282,7 +282,7 @@
                     assertTrue(metrics(next.door).get("transactions.send.answered") > 0);
                     old.signal("TERM");
                     Conductor stopping = old;
-                    await("it stops", () -> !stopping.ready());
+                    await("the old process stops", () -> !stopping.ready());
                     load.goesOn();
                     assertTrue(old.process.isAlive(), "a stream is open");
                     fleet.release(open);
@@ -292,7 +292,7 @@
                 load.goesOn();
             }
             load.end();
-            assertEquals(fleet.writers.get(0).attempts(), 0, "out since the first process");
+            assertEquals(fleet.writers.get(0).attempts(), 0, "banned since the first process");
             for (StandIn server : List.of(fleet.reader, fleet.writers.get(1))) {
                 Map<String, Long> times = server.seen.stream()
                         .filter(m -> m.method().equals("POST"))
@@ -302,7 +302,7 @@
         }
     }
 
-    /** What the processes have come to when one is killed. */
+    /** How far the upgrade has come when one of the processes is killed. */
     private enum Step {
         STARTING,
         SERVING,
@@ -317,7 +317,10 @@
                 .toArray(Object[][]::new);
     }
 
-    /** Whoever is killed, and when: the other serves, keeps what was said at either door, and counts truly. */
+    /**
+     * Whichever process is killed, and when: the other one serves, keeps the ban that an operator ordered at the old one, and its
+     * metrics are right.
+     */
     @Test(dataProvider = "kills")
     public void theOtherGoesOn(Step step, boolean killOld) throws Exception {
         try (Fleet fleet = new Fleet()) {
@@ -329,14 +332,14 @@
             Line newStream = step == Step.SERVING || step == Step.LEAVING ? fleet.hold() : null;
             if (step == Step.LEAVING) {
                 old.signal("TERM");
-                await("it stops", () -> !old.ready());
+                await("the old process stops", () -> !old.ready());
             }
             (killOld ? old : next).process.destroyForcibly().waitFor();
             Conductor left = killOld ? next : old;
             fleet.told.countDown();
-            await("who is left listens", () -> left.listeners() == 1);
+            await("the remaining process listens", () -> left.listeners() == 1);
             boolean stops = left == old && step == Step.LEAVING;
-            await("healthy unless it stops", () -> left.healthy() == !stops);
+            await("healthy unless it is stopping", () -> left.healthy() == !stops);
             fleet.holdsOut(out);
             if (stops) {
                 fleet.release(oldStream);
@@ -349,41 +352,41 @@
             }
             await("nothing is open", () -> metrics(left.door).get("current") == 0);
             fleet.countsTruly(left);
-            await("known to serve", () -> fleet.phases().equals(List.of(SharedState.Phase.SERVING)));
-            assertEquals(out.attempts(), 0, "out since before");
+            await("the shared state says SERVING", () -> fleet.phases().equals(List.of(SharedState.Phase.SERVING)));
+            assertEquals(out.attempts(), 0, "banned since before the kill");
             assertEquals(left.call("ATTACH " + id(out)), "ACK\n");
             fleet.usesAgain(out);
             if (step == Step.SERVING && !killOld) {
-                fleet.next(); // an upgrade that failed is begun anew
+                fleet.next(); // the failed upgrade is repeated
                 fleet.ask(10);
             }
         }
     }
 
-    /** Door 0 is the old one's, 1 the new one's: where it is said, and where it is taken back. */
+    /** Process 0 is the old one, 1 the new one: at which the ban is ordered and lifted, and at which the drain. */
     @DataProvider
     public Object[][] doors() {
         return new Object[][] {{0, 1}, {1, 0}};
     }
 
-    /** What is said at one door holds at the other; each call is made once. */
+    /** An order that is given to one process takes effect in both; each call is executed and logged once. */
     @Test(dataProvider = "doors")
     public void whatIsSaidHoldsForBoth(int said, int back) throws Exception {
         try (Fleet fleet = new Fleet()) {
             StandIn out = fleet.writers.get(0);
             List<Conductor> both = List.of(fleet.next(), fleet.next());
-            // the second word before the first was looked at
+            // the second call may come before the first has spread to the other process
             assertEquals(both.get(said).call("DETACH " + id(out)), "ACK\n");
             assertEquals(both.get(back).call("LAMEDUCK"), "ACK\n");
             for (Conductor one : both) {
-                await("left out", () -> metrics(one.door).get("cluster_unhealthy") == 1);
+                await("one server banned", () -> metrics(one.door).get("cluster_unhealthy") == 1);
             }
             await("drained", () -> !both.get(1).healthy());
             fleet.holdsOut(out);
             assertEquals(both.get(back).call("REJOIN"), "ACK\n");
             assertEquals(both.get(said).call("ATTACH " + id(out)), "ACK\n");
             for (Conductor one : both) {
-                await("used", () -> metrics(one.door).get("cluster_unhealthy") == 0);
+                await("no server banned", () -> metrics(one.door).get("cluster_unhealthy") == 0);
                 assertTrue(one.ready());
             }
             await("back at work", both.get(1)::healthy);
@@ -400,7 +403,7 @@
         }
     }
 
-    /** A drain by hand is the conductor's, not the process's. */
+    /** A drain that an operator orders applies to the conductor as a whole, also to its later processes. */
     @Test
     public void aDrainOutlivesAnUpgrade() throws Exception {
         try (Fleet fleet = new Fleet()) {
@@ -418,7 +421,7 @@
         }
     }
 
-    /** The old one stops as ever where nobody is there yet to take its place, and the new one comes when it can. */
+    /** If no other process is ready yet, the old one stops as usual, and the new one starts to listen once it is ready. */
     @Test
     public void aStopBeforeTheNewOneIsReady() throws Exception {
         try (Fleet fleet = new Fleet()) {
@@ -428,7 +431,7 @@
             assertEquals(old.listeners(), 1, "the new one is not ready");
             try (Line open = fleet.hold()) {
                 old.signal("TERM");
-                await("it stops", () -> !old.ready());
+                await("the old process stops", () -> !old.ready());
                 assertFalse(old.healthy());
                 fleet.ask(3);
                 fleet.release(open);
@@ -442,15 +445,18 @@
         }
     }
 
-    /** Guards against a stop that begins to listen, beside the one that serves: its list comes after the signal. */
+    /**
+     * Guards against a stopping process that begins to listen beside the one that serves: its server list arrives only after the
+     * signal.
+     */
     @Test
     public void aStopBeforeItIsReadyNeverListens() throws Exception {
         try (Fleet fleet = new Fleet()) {
             Conductor old = fleet.next();
             Conductor next = fleet.late();
-            await("a signal does not just end it", () -> next.logged(" listens on "));
+            await("it handles the signal itself", () -> next.logged(" listens on "));
             next.signal("TERM");
-            await("its leaving is known", () -> fleet.phases().contains(SharedState.Phase.LEAVING));
+            await("the shared state says LEAVING", () -> fleet.phases().contains(SharedState.Phase.LEAVING));
             fleet.told.countDown();
             while (next.process.isAlive()) {
                 assertEquals(old.listeners(), 1);
@@ -459,7 +465,7 @@
         }
     }
 
-    /** Each with a ban in it that must not hold but in the last. */
+    /** State files that contain a ban, which must take effect only in the last case. */
     @DataProvider
     public Object[][] files() {
         return new Object[][] {
@@ -485,7 +491,7 @@
         }
     }
 
-    /** {@code why} null: the file is taken. */
+    /** {@code reason} null: the file is valid and used. */
     @Test(dataProvider = "files")
     public void whatIsNotOursIsNotTaken(String why, UnaryOperator<byte[]> spoil) throws Exception {
         try (Fleet fleet = new Fleet()) {
@@ -504,7 +510,7 @@
                 assertTrue(one.logged(said), Files.readString(one.log));
                 fleet.usesAgain(out);
             }
-            StateCodec.read(Conductor.NAME, Files.readAllBytes(state)); // whole again
+            StateCodec.read(Conductor.NAME, Files.readAllBytes(state)); // has been replaced by a valid file
         }
     }
 }
