--- a/src/main/java/copperbeam/program/Node.java
+++ b/src/main/java/copperbeam/program/Node.java
@@ -23,8 +23,8 @@
 import copperbeam.routing.Recorder;
 import copperbeam.routing.ReleaseActor;
 import copperbeam.transport.AdminServer;
+import copperbeam.transport.ClientConnections;
 import copperbeam.transport.ClientReactor;
-import copperbeam.transport.ClientRoom;
 import copperbeam.transport.DescriptorBudget;
 import copperbeam.transport.HttpFrontServer;
 import copperbeam.transport.PlainHttpClient;
@@ -46,42 +46,42 @@
 
 /** One running conductor: builds and connects its actors, fronts and reactors, and starts and stops them. */
 public final class Node implements AutoCloseable {
-    private static final Duration LEAST_CALL = Duration.ofMillis(250);
-    private static final Duration LONGEST_CALL = Duration.ofSeconds(1);
+    private static final Duration MIN_CALL_TIMEOUT = Duration.ofMillis(250);
+    private static final Duration MAX_CALL_TIMEOUT = Duration.ofSeconds(1);
     // idle connections are kept for this share of the servers' idle timeout
-    private static final double IDLE_SHARE = 0.5;
+    private static final double IDLE_TIMEOUT_SHARE = 0.5;
     private static final Logger LOG = Logger.getLogger(Node.class.getName());
     // at a stop, for finding out whether another process is serving
-    private static final Duration LOOK = Duration.ofMillis(500);
-    private static final Duration CLOCK_LOOK =
+    private static final Duration SUCCESSOR_CHECK_TIMEOUT = Duration.ofMillis(500);
+    private static final Duration CLOCK_CHECK_INTERVAL =
             Duration.ofMillis(500); // between checks for steps of the wall clock
     // if discovery hasn't sent a list for so long after the start, the one known before the start is used
-    private static final Duration KNOWN_AFTER = Duration.ofSeconds(2);
+    private static final Duration KNOWN_LIST_DELAY = Duration.ofSeconds(2);
     // so many recently resumed streams show that other conductors have cut theirs
     private static final int MIN_RESUMED_STREAMS = 3;
 
-    private final ScheduledThreadPoolExecutor turns =
+    private final ScheduledThreadPoolExecutor scheduler =
             new ScheduledThreadPoolExecutor(1, task -> new Thread(task, "actors"));
     private final ClientReactor reactor = new ClientReactor();
     private final ModuleActor module;
     private final ReleaseActor releases;
     private final MembershipSource source;
     private final DiscoveryWatch discovery; // null if the list comes from etcd
-    private final HttpFrontServer server;
-    private final AtomicBoolean listed = new AtomicBoolean();
-    private final CountDownLatch warm = new CountDownLatch(1);
+    private final HttpFrontServer front;
+    private final AtomicBoolean listReceived = new AtomicBoolean();
+    private final CountDownLatch warmedUp = new CountDownLatch(1);
     private final Config config;
-    private final ListActor list;
+    private final ListActor listActor;
     private final Metrics metrics;
-    private final ClientRoom room;
+    private final ClientConnections clientConnections;
     private final LifecycleActor lifecycle;
     private volatile InetSocketAddress address; // null until this process listens there
     private final ResumedStreamCounter resumedStreams;
     private final FileRecorder fileRecorder; // null if nothing is recorded
-    private ScheduledThreadPoolExecutor hookTurns;
-    private HttpFrontServer chat;
+    private ScheduledThreadPoolExecutor hookScheduler;
+    private HttpFrontServer chatFront;
     private volatile InetSocketAddress chatAddress; // null until this process listens there
-    private AdminServer door; // null if there is no operators' API
+    private AdminServer adminServer; // null if there is no operators' API
     private final Handover handover; // null if there is no operators' API
     private final AtomicBoolean ready = new AtomicBoolean();
     private volatile boolean serving; // listens at the clients' address
@@ -91,137 +91,140 @@
     }
 
     /** {@code recordFile} null: nothing is recorded. {@code recordBytes}: memory for recorded events. */
-    Node(Config config, Path record, int recordBytes) throws IOException, InterruptedException {
+    Node(Config config, Path recordFile, int recordBytes) throws IOException, InterruptedException {
         this.config = config;
-        turns.setRemoveOnCancelPolicy(true);
+        scheduler.setRemoveOnCancelPolicy(true);
         Clock clock = ModuleTime.steadyClock();
-        fileRecorder = record == null ? null : new FileRecorder(turns, clock, config.name(), record, recordBytes);
-        Recorder recorder = record == null ? Recorder.NONE : fileRecorder;
+        fileRecorder =
+                recordFile == null ? null : new FileRecorder(scheduler, clock, config.name(), recordFile, recordBytes);
+        Recorder recorder = recordFile == null ? Recorder.NONE : fileRecorder;
         Duration releaseWithin =
-                ModuleTime.span(Math.max(0.2, config.settings().rules().releaseS()));
+                ModuleTime.duration(Math.max(0.2, config.settings().rules().stateLeaseS()));
         metrics = new Metrics(config.classNames());
-        releases = new ReleaseActor(turns, clock, releaseWithin.multipliedBy(2));
-        module = new ModuleActor(turns, clock, config.settings(), config.seed(), releases, recorder, metrics);
+        releases = new ReleaseActor(scheduler, clock, releaseWithin.multipliedBy(2));
+        module = new ModuleActor(scheduler, clock, config.settings(), config.seed(), releases, recorder, metrics);
         DescriptorBudget descriptors = DescriptorBudget.ofProcess(
-                config.limits().sockets(), config.limits().idle(), reactor);
+                config.limits().sockets(), config.limits().maxIdleConnections(), reactor);
         PeerActor.Setup setup = new PeerActor.Setup(
                 clock,
                 new ServerConnector(reactor, descriptors),
                 config.connectTimeout(),
-                Duration.ofMillis((long) (config.connectionIdle().toMillis() * IDLE_SHARE)),
+                Duration.ofMillis((long) (config.connectionIdleTimeout().toMillis() * IDLE_TIMEOUT_SHARE)),
                 callTimeout(config.connectTimeout()),
                 module,
                 releases,
                 recorder,
                 metrics);
-        list = new ListActor(
-                turns,
-                (id, at) -> new PeerActor(turns, id, at, setup),
+        listActor = new ListActor(
+                scheduler,
+                (id, at) -> new PeerActor(scheduler, id, at, setup),
                 module,
                 releases,
-                config.limits().idle());
-        BanActor bans = config.control() == null ? null : new BanActor(turns, clock, list);
-        handover = bans == null ? null : new Handover(config.shared(), config.name(), clock, bans);
+                config.limits().maxIdleConnections());
+        BanActor bans = config.control() == null ? null : new BanActor(scheduler, clock, listActor);
+        handover = bans == null ? null : new Handover(config.sharedFolder(), config.name(), clock, bans);
         LaunchTimes launches = new LaunchTimes(clock, Clock.systemUTC());
-        RegularTask.start(turns, CLOCK_LOOK, "checking the clocks", launches::look);
-        MembershipSource.Sink told = bans == null
-                ? change -> list.tell(new ListActor.Told(launches.steady(change), null))
-                : change -> bans.tell(new BanActor.Told(launches.steady(change)));
-        room = new ClientRoom(config.limits().clients(), config.limits().bodies(), descriptors);
-        boolean goesOn = config.operator().etcd() == null && config.knownListing() != null;
-        if (goesOn) {
-            told.changed(config.known().change(ListKind.CACHED));
-            listed.set(true);
+        RegularTask.start(scheduler, CLOCK_CHECK_INTERVAL, "checking the clocks", launches::checkForStep);
+        MembershipSource.Sink listSink = bans == null
+                ? change -> listActor.tell(new ListActor.ListChanged(launches.toSteady(change), null))
+                : change -> bans.tell(new BanActor.ListChanged(launches.toSteady(change)));
+        clientConnections = new ClientConnections(
+                config.limits().maxClients(), config.limits().maxBodyBytes(), descriptors);
+        boolean continuesKnownList = config.operator().etcd() == null && config.knownListing() != null;
+        if (continuesKnownList) {
+            listSink.changed(config.knownList().toChange(ListKind.CACHED));
+            listReceived.set(true);
         }
         HttpClient client = new PlainHttpClient(reactor);
         Config.Etcd etcd = config.operator().etcd();
         discovery = etcd == null
                 ? new DiscoveryWatch(
-                        turns,
+                        scheduler,
                         client,
                         clock,
                         config.discovery(),
                         config.knownListing(),
-                        config.knowsServers(),
+                        config.hasKnownServers(),
                         config.discoveryBackoff())
                 : null;
-        source = etcd == null ? discovery : new EtcdMembership(turns, client, etcd.endpoint(), etcd.prefix());
+        source = etcd == null ? discovery : new EtcdMembership(scheduler, client, etcd.endpoint(), etcd.prefix());
         source.start(change -> {
-            told.changed(change);
-            listed();
+            listSink.changed(change);
+            onListReceived();
         });
         resumedStreams = new ResumedStreamCounter(module, clock);
         Intake intake = resumedStreams;
         if (!config.operator().hooks().isEmpty()) {
-            hookTurns = new ScheduledThreadPoolExecutor(1, task -> new Thread(task, "plug-ins"));
+            hookScheduler = new ScheduledThreadPoolExecutor(1, task -> new Thread(task, "plug-ins"));
             intake = new HookActor(
-                    hookTurns, turns, clock, config.operator().hooks(), config.settings(), resumedStreams);
+                    hookScheduler, scheduler, clock, config.operator().hooks(), config.settings(), resumedStreams);
         }
         HttpFrontServer.Observer observer = new HttpFrontServer.Observer() {
             @Override
-            public void turnedAway(String requestClass, int status) {
-                metrics.turnedAway(requestClass, status == 503 ? Metrics.End.DEFERRED : Metrics.End.ERRORED);
+            public void requestRejected(String requestClass, int status) {
+                metrics.requestRejected(requestClass, status == 503 ? Metrics.End.DEFERRED : Metrics.End.ERRORED);
             }
 
             @Override
-            public void closed(HttpFrontServer.CloseReason reason) {
+            public void connectionClosed(HttpFrontServer.CloseReason reason) {
                 metrics.causes().add(CauseCounts.Kind.CONNECTION_CLOSED, reason);
             }
         };
-        server = new HttpFrontServer(
-                new PlatformFront(config.classNames(), intake, this::healthy), clock, room, observer);
-        if (config.operator().chat() != null) {
-            chat = new HttpFrontServer(
-                    new OpenAiFront(config.operator().chat(), intake, this::healthy, clock.instant()),
+        front = new HttpFrontServer(
+                new PlatformFront(config.classNames(), intake, this::isHealthy), clock, clientConnections, observer);
+        if (config.operator().chatModels() != null) {
+            chatFront = new HttpFrontServer(
+                    new OpenAiFront(config.operator().chatModels(), intake, this::isHealthy, clock.instant()),
                     clock,
-                    room,
+                    clientConnections,
                     observer);
         }
         lifecycle = new LifecycleActor(
-                turns,
+                scheduler,
                 clock,
-                new Lifecycle(config.operator().stopWithin(), config.settings().streamsResume()),
-                servers(),
+                new Lifecycle(config.operator().stopTimeout(), config.settings().streamsResumable()),
+                fronts(),
                 module,
                 releases,
-                () -> resumedStreams.recent() >= MIN_RESUMED_STREAMS,
-                beside -> share(beside.another() ? config.limits().half() : config.limits(), beside.part()));
+                () -> resumedStreams.recentCount() >= MIN_RESUMED_STREAMS,
+                beside -> applyShare(
+                        beside.another() ? config.limits().withHalfTheSockets() : config.limits(), beside.part()));
         RegularTask.start(
-                turns,
+                scheduler,
                 HttpFrontServer.TICK,
                 "checking client connections",
-                () -> servers().forEach(HttpFrontServer::tick));
-        RegularTask.start(turns, HttpFrontServer.TICK, "cancelling overdue connects", reactor::cancelOverdue);
-        boolean later = handover != null;
-        if (!later) {
+                () -> fronts().forEach(HttpFrontServer::checkTimers));
+        RegularTask.start(scheduler, HttpFrontServer.TICK, "cancelling overdue connects", reactor::cancelOverdue);
+        boolean listensLater = handover != null;
+        if (!listensLater) {
             listen();
         }
         if (handover != null) {
-            module.tell(new ModuleActor.Census());
-            handover.begin(lifecycle);
-            door = new AdminServer(
+            module.tell(new ModuleActor.CountServers());
+            handover.start(lifecycle);
+            adminServer = new AdminServer(
                     config.control(),
                     clock,
-                    new OperatorCommands(metrics, this::serves, handover, bans, handover.thread()));
+                    new OperatorCommands(metrics, this::isServing, handover, bans, handover.executor()));
         }
-        WarmUp.start(config.settings(), client, later ? null : address, () -> {
-            warm.countDown();
-            ready();
+        WarmUp.start(config.settings(), client, listensLater ? null : address, () -> {
+            warmedUp.countDown();
+            serveIfReady();
         });
-        if (config.knowsServers() && !goesOn) {
+        if (config.hasKnownServers() && !continuesKnownList) {
             // if discovery is down, fall back to the known list; not earlier, as the agent may know of drains that this
             // list lacks, and this conductor counts as informed of them
-            turns.schedule(
+            scheduler.schedule(
                     () -> {
-                        if (!listed.get()) {
-                            told.changed(config.known().change(ListKind.CACHED));
-                            listed();
+                        if (!listReceived.get()) {
+                            listSink.changed(config.knownList().toChange(ListKind.CACHED));
+                            onListReceived();
                         }
                     },
-                    KNOWN_AFTER.toMillis(),
+                    KNOWN_LIST_DELAY.toMillis(),
                     TimeUnit.MILLISECONDS);
         }
-        ready();
+        serveIfReady();
     }
 
     /**
@@ -229,8 +232,8 @@
      * answers that are on their way; a very long one would let calls pile up at an unresponsive server.
      */
     private static Duration callTimeout(Duration connectTimeout) {
-        Duration least = connectTimeout.compareTo(LEAST_CALL) < 0 ? LEAST_CALL : connectTimeout;
-        return least.compareTo(LONGEST_CALL) < 0 ? least : LONGEST_CALL;
+        Duration atLeastMin = connectTimeout.compareTo(MIN_CALL_TIMEOUT) < 0 ? MIN_CALL_TIMEOUT : connectTimeout;
+        return atLeastMin.compareTo(MAX_CALL_TIMEOUT) < 0 ? atLeastMin : MAX_CALL_TIMEOUT;
     }
 
     /**
@@ -241,29 +244,29 @@
     private void listen() throws IOException {
         boolean shared = handover != null;
         if (address == null) {
-            address = server.listen(config.listen(), shared);
+            address = front.listen(config.listen(), shared);
         }
-        if (chat != null && chatAddress == null) {
-            chatAddress = chat.listen(config.operator().chatListen(), shared);
+        if (chatFront != null && chatAddress == null) {
+            chatAddress = chatFront.listen(config.operator().chatListen(), shared);
         }
     }
 
-    private void listed() {
-        listed.set(true);
-        ready();
+    private void onListReceived() {
+        listReceived.set(true);
+        serveIfReady();
     }
 
-    private void ready() {
-        if (handover != null && listed.get() && warm.getCount() == 0 && ready.compareAndSet(false, true)) {
-            handover.serve(this::listen, () -> serving = true);
+    private void serveIfReady() {
+        if (handover != null && listReceived.get() && warmedUp.getCount() == 0 && ready.compareAndSet(false, true)) {
+            handover.startServing(this::listen, () -> serving = true);
         }
     }
 
     /** Applies this process's share of the descriptors and of the work for cold servers. */
-    private void share(Config.Limits limits, double part) {
-        room.most(limits.clients());
-        list.tell(new ListActor.Idle(limits.idle()));
-        module.tellFirst(new ModuleActor.Beside(part));
+    private void applyShare(Config.Limits limits, double part) {
+        clientConnections.setMaxBusy(limits.maxClients());
+        listActor.tell(new ListActor.IdleLimit(limits.maxIdleConnections()));
+        module.tellUrgent(new ModuleActor.ColdWorkShare(part));
     }
 
     /** The clients' address, also before this process listens there. */
@@ -272,8 +275,8 @@
     }
 
     /** Waits until the warm-up is done. */
-    void awaitWarm() throws InterruptedException {
-        warm.await();
+    void awaitWarmUp() throws InterruptedException {
+        warmedUp.await();
     }
 
     /** Address of the chat API; null if it is off or this process doesn't listen yet. */
@@ -282,33 +285,33 @@
     }
 
     /** Address of the operators' API; null if it is off. */
-    public InetSocketAddress door() {
-        return door == null ? null : door.address();
+    public InetSocketAddress adminAddress() {
+        return adminServer == null ? null : adminServer.address();
     }
 
     /** Applies the one setting that can change at run time, the address of discovery; all others need a restart. */
     public void reload(Config config) {
         if (discovery != null && config.discovery() != null) {
-            discovery.move(config.discovery());
+            discovery.moveTo(config.discovery());
         }
     }
 
     /** Writes the recorded events to the file; completes with whether that succeeded, or false if nothing is recorded. */
-    CompletableFuture<Boolean> record() {
+    CompletableFuture<Boolean> writeRecording() {
         return fileRecorder == null ? CompletableFuture.completedFuture(false) : fileRecorder.dump();
     }
 
-    private List<HttpFrontServer> servers() {
-        return chat == null ? List.of(server) : List.of(server, chat);
+    private List<HttpFrontServer> fronts() {
+        return chatFront == null ? List.of(front) : List.of(front, chatFront);
     }
 
-    private boolean healthy() {
-        return listed.get() && warm.getCount() == 0 && lifecycle.healthy();
+    private boolean isHealthy() {
+        return listReceived.get() && warmedUp.getCount() == 0 && lifecycle.isHealthy();
     }
 
     /** Whether requests that arrive would be served, also if health checks fail because of a drain. */
-    private boolean serves() {
-        return serving && !lifecycle.stopping();
+    private boolean isServing() {
+        return serving && !lifecycle.isStopping();
     }
 
     /**
@@ -318,7 +321,8 @@
     public void stop() throws InterruptedException {
         try {
             lifecycle
-                    .stop(handover != null && handover.leaving().get(LOOK.toMillis(), TimeUnit.MILLISECONDS))
+                    .stop(handover != null
+                            && handover.startLeaving().get(SUCCESSOR_CHECK_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS))
                     .get();
         } catch (ExecutionException | TimeoutException e) {
             LOG.warning("cannot tell whether another process is serving: " + e);
@@ -333,12 +337,12 @@
      * for threads that are in a system call, as idle reactors are; the time left before the kill is shorter than that.
      */
     void quiesce() {
-        turns.shutdownNow(); // first, as actors told of failed connects would start new ones
-        servers().forEach(HttpFrontServer::quiesce);
+        scheduler.shutdownNow(); // first, as actors told of failed connects would start new ones
+        fronts().forEach(HttpFrontServer::quiesce);
         reactor.quiesce();
-        if (door != null) {
+        if (adminServer != null) {
             try {
-                door.close();
+                adminServer.close();
             } catch (IOException e) {
                 LOG.fine(() -> "closing the operators' API: " + e);
             }
@@ -348,15 +352,15 @@
     @Override
     public void close() throws IOException {
         source.stop();
-        servers().forEach(HttpFrontServer::close);
+        fronts().forEach(HttpFrontServer::close);
         reactor.close();
-        if (hookTurns != null) {
-            hookTurns.shutdownNow();
+        if (hookScheduler != null) {
+            hookScheduler.shutdownNow();
         }
-        if (door != null) {
-            door.close();
+        if (adminServer != null) {
+            adminServer.close();
             handover.close();
         }
-        turns.shutdownNow();
+        scheduler.shutdownNow();
     }
 }
--- a/src/main/java/copperbeam/program/RegularTask.java
+++ b/src/main/java/copperbeam/program/RegularTask.java
@@ -12,7 +12,7 @@
 
     private final String name;
     private final Runnable task;
-    private boolean failed; // whether the last run failed, which has been logged
+    private boolean lastRunFailed; // whether the last run failed, which has been logged
 
     private RegularTask(String name, Runnable task) {
         this.name = name;
@@ -26,20 +26,21 @@
      * @param name of the task, for the log
      */
     static void start(ScheduledExecutorService executor, Duration interval, String name, Runnable task) {
-        long nanos = interval.toNanos();
-        executor.scheduleWithFixedDelay(new RegularTask(name, task), nanos, nanos, TimeUnit.NANOSECONDS);
+        long intervalNanos = interval.toNanos();
+        executor.scheduleWithFixedDelay(
+                new RegularTask(name, task), intervalNanos, intervalNanos, TimeUnit.NANOSECONDS);
     }
 
     @Override
     public void run() {
         try {
             task.run();
-            failed = false;
+            lastRunFailed = false;
         } catch (RuntimeException | Error e) { // Errors too: the JVM throws some when file descriptors run out
-            if (!failed) {
+            if (!lastRunFailed) {
                 LOG.log(Level.WARNING, name + " failed; it will be run again", e);
             }
-            failed = true;
+            lastRunFailed = true;
         }
     }
 }
--- a/src/main/java/copperbeam/program/Rehearsal.java
+++ b/src/main/java/copperbeam/program/Rehearsal.java
@@ -20,7 +20,7 @@
  */
 final class Rehearsal {
     private static final int REQUESTS = 20;
-    private static final int PATIENCE_MS = 5000;
+    private static final int READ_TIMEOUT_MS = 5000;
     private static final String ENTRY = """
             {"id":"%s","addr":"127.0.0.1:%d","zone":"z","kind":"%s","cell":0,"state":"active","started_ms":0}""";
     private static final String LIST = """
@@ -50,38 +50,41 @@
         try (ServerSocket discovery = listen();
                 ServerSocket reader = listen();
                 ServerSocket writer = listen();
-                ServerSocket full = listen()) {
+                ServerSocket fullWriter = listen()) {
             String list = String.format(
                     LIST,
                     String.join(
-                            ",", entry("r", reader, "read"), entry("w", writer, "write"), entry("f", full, "write")));
-            serve(discovery, whole("200 OK", list));
-            serve(reader, whole("202 Accepted", "{\"cached_tokens\":0}"));
+                            ",",
+                            entry("r", reader, "read"),
+                            entry("w", writer, "write"),
+                            entry("f", fullWriter, "write")));
+            serve(discovery, response("200 OK", list));
+            serve(reader, response("202 Accepted", "{\"cached_tokens\":0}"));
             serve(
                     writer,
                     "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
                             + Integer.toHexString(EVENTS.length()) + "\r\n" + EVENTS + "\r\n0\r\n\r\n");
-            serve(full, whole("503 Full\r\nX-Not-Processed: 1", ""));
-            int free;
-            try (ServerSocket next = listen()) {
-                free = next.getLocalPort();
+            serve(fullWriter, response("503 Full\r\nX-Not-Processed: 1", ""));
+            int freePort;
+            try (ServerSocket probeSocket = listen()) {
+                freePort = probeSocket.getLocalPort();
             }
-            Files.writeString(file, String.format(CONFIG, free, discovery.getLocalPort(), list));
+            Files.writeString(file, String.format(CONFIG, freePort, discovery.getLocalPort(), list));
             Map<String, String> environment = new HashMap<>(System.getenv()); // read as at a real start
             environment.keySet().removeIf(name -> name.startsWith("GW_"));
             environment.put("GW_CONFIG", file.toString());
-            live(environment);
+            runConductor(environment);
             return 0;
         } finally {
             Files.delete(file);
         }
     }
 
-    private static void live(Map<String, String> environment) throws IOException, InterruptedException {
+    private static void runConductor(Map<String, String> environment) throws IOException, InterruptedException {
         Reload reload = Reload.onHangup();
         try (Node node = new Node(Config.read(environment, null))) {
-            reload.begin(() -> Config.reread(environment, null), node);
-            node.awaitWarm();
+            reload.start(() -> Config.reread(environment, null), node);
+            node.awaitWarmUp();
             int served = 0;
             for (int i = 0; i < REQUESTS; i++) {
                 served += request(node.address(), i, i % 2 == 0 ? "c" : "once");
@@ -100,20 +103,20 @@
         return new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
     }
 
-    private static String entry(String id, ServerSocket at, String kind) {
-        return String.format(ENTRY, id, at.getLocalPort(), kind);
+    private static String entry(String id, ServerSocket socket, String kind) {
+        return String.format(ENTRY, id, socket.getLocalPort(), kind);
     }
 
-    private static String whole(String status, String body) {
+    private static String response(String status, String body) {
         return "HTTP/1.1 " + status + "\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
     /** Answers each call with {@code answer}, and releases (DELETE) with 204, until the socket is closed. */
-    private static void serve(ServerSocket at, String answer) {
-        daemon(() -> {
+    private static void serve(ServerSocket socket, String answer) {
+        startDaemon(() -> {
             while (true) {
-                Socket next = at.accept();
-                daemon(() -> answer(next, answer));
+                Socket connection = socket.accept();
+                startDaemon(() -> answer(connection, answer));
             }
         });
     }
@@ -122,7 +125,7 @@
         try (connection) {
             BufferedReader in =
                     new BufferedReader(new InputStreamReader(connection.getInputStream(), StandardCharsets.US_ASCII));
-            for (String start = in.readLine(); start != null; start = in.readLine()) {
+            for (String requestLine = in.readLine(); requestLine != null; requestLine = in.readLine()) {
                 int length = 0;
                 for (String header = in.readLine(); !header.isEmpty(); header = in.readLine()) {
                     if (header.regionMatches(true, 0, "content-length:", 0, 15)) {
@@ -134,21 +137,21 @@
                 }
                 connection
                         .getOutputStream()
-                        .write((start.startsWith("DELETE") ? "HTTP/1.1 204 Gone\r\n\r\n" : answer)
+                        .write((requestLine.startsWith("DELETE") ? "HTTP/1.1 204 Gone\r\n\r\n" : answer)
                                 .getBytes(StandardCharsets.US_ASCII));
             }
         }
     }
 
-    private interface Work {
+    private interface IoTask {
         void run() throws IOException;
     }
 
-    private static void daemon(Work work) {
+    private static void startDaemon(IoTask task) {
         Thread thread = new Thread(
                 () -> {
                     try {
-                        work.run();
+                        task.run();
                     } catch (IOException e) {
                         // the connection was closed by its peer, or the socket at the end of the rehearsal
                     }
@@ -161,7 +164,7 @@
     /** Sends a request; returns 1 if it is answered with status 200, else 0. */
     private static int request(InetSocketAddress to, int number, String requestClass) throws IOException {
         try (Socket client = new Socket(to.getAddress(), to.getPort())) {
-            client.setSoTimeout(PATIENCE_MS);
+            client.setSoTimeout(READ_TIMEOUT_MS);
             client.getOutputStream()
                     .write(("POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nX-Request-ID: i" + number
                                     + "\r\nX-Priority-Class: " + requestClass + "\r\nX-Route-Key: k\r\nX-Timeout: 2000m"
--- a/src/main/java/copperbeam/program/Reload.java
+++ b/src/main/java/copperbeam/program/Reload.java
@@ -17,7 +17,7 @@
     private static final Logger LOG = Logger.getLogger(Reload.class.getName());
 
     private final CompletableFuture<Source> source = new CompletableFuture<>();
-    private final CompletableFuture<Node> running = new CompletableFuture<>();
+    private final CompletableFuture<Node> runningNode = new CompletableFuture<>();
 
     private Reload() {}
 
@@ -28,24 +28,26 @@
      */
     static Reload onHangup() {
         Reload reload = new Reload();
-        ExecutorService one = Executors.newSingleThreadExecutor(task -> {
+        ExecutorService executor = Executors.newSingleThreadExecutor(task -> {
             Thread thread = new Thread(task, "reload");
             thread.setDaemon(true);
             return thread;
         });
-        SignalHandler before = Signal.handle(
-                new Signal("HUP"), signal -> one.execute(() -> reload(reload.source.join(), reload.running.join())));
-        if (before == SignalHandler.SIG_IGN) {
+        SignalHandler previousHandler = Signal.handle(
+                new Signal("HUP"),
+                signal -> executor.execute(() -> reload(reload.source.join(), reload.runningNode.join())));
+        if (previousHandler == SignalHandler.SIG_IGN) {
             // the JVM installs no handler for a signal that its parent process set to be ignored, and doesn't report it
-            LOG.warning("SIGHUP is ignored, as set by the parent process (nohup does so): the configuration can't be reloaded");
+            LOG.warning(
+                    "SIGHUP is ignored, as set by the parent process (nohup does so): the configuration can't be reloaded");
         }
         return reload;
     }
 
     /** Sets where signals, including those received already, read the configuration from, and which node gets it. */
-    void begin(Source configuration, Node node) {
+    void start(Source configuration, Node node) {
         source.complete(configuration);
-        running.complete(node);
+        runningNode.complete(node);
     }
 
     /** Reads the configuration and applies it to the node; an invalid one changes nothing. */
--- a/src/main/java/copperbeam/program/ResumedStreamCounter.java
+++ b/src/main/java/copperbeam/program/ResumedStreamCounter.java
@@ -1,8 +1,8 @@
 package copperbeam.program;
 
-import copperbeam.routing.Answer;
-import copperbeam.routing.Ask;
 import copperbeam.routing.Intake;
+import copperbeam.routing.RequestSpec;
+import copperbeam.routing.ResponseSink;
 import java.time.Clock;
 import java.time.Duration;
 import java.time.Instant;
@@ -14,7 +14,7 @@
  */
 final class ResumedStreamCounter implements Intake {
     private static final Duration WINDOW = Duration.ofSeconds(5); // about as long as a conductor's restart takes
-    private static final int MOST_COUNTED = 16;
+    private static final int MAX_COUNTED = 16;
 
     private final Intake next;
     private final Clock clock;
@@ -26,24 +26,24 @@
     }
 
     @Override
-    public void arrive(Ask ask, Answer answer) {
-        if (ask.resumed()) {
+    public void submit(RequestSpec spec, ResponseSink response) {
+        if (spec.resumed()) {
             arrivals.addLast(clock.instant());
-            if (arrivals.size() > MOST_COUNTED) {
+            if (arrivals.size() > MAX_COUNTED) {
                 arrivals.pollFirst();
             }
         }
-        next.arrive(ask, answer);
+        next.submit(spec, response);
     }
 
     @Override
-    public void left(Answer answer) {
-        next.left(answer);
+    public void clientGone(ResponseSink response) {
+        next.clientGone(response);
     }
 
     /** Number of streams resumed within the last {@link #WINDOW}; at most {@link #MAX_COUNTED}. */
-    long recent() {
-        Instant from = clock.instant().minus(WINDOW);
-        return arrivals.stream().filter(at -> at.isAfter(from)).count();
+    long recentCount() {
+        Instant windowStart = clock.instant().minus(WINDOW);
+        return arrivals.stream().filter(arrival -> arrival.isAfter(windowStart)).count();
     }
 }
--- a/src/main/java/copperbeam/program/Section.java
+++ b/src/main/java/copperbeam/program/Section.java
@@ -16,7 +16,7 @@
 
 /** A JSON object of a configuration file; its exceptions name the key at fault by its full path. */
 final class Section {
-    static final double LONGEST_S = 1e9; // twice as much still fits a long in nanoseconds
+    static final double MAX_DURATION_S = 1e9; // twice as much still fits a long in nanoseconds
 
     private final String path;
     private final Map<String, Object> values;
@@ -26,13 +26,13 @@
         this.values = values;
     }
 
-    static Section file(String what, String path) throws Config.Invalid {
+    static Section file(String source, String path) throws Config.Invalid {
         try {
             return of(Json.GSON.fromJson(Files.readString(Path.of(path)), Object.class), "");
         } catch (IOException e) {
-            throw new Config.Invalid(what, "cannot read " + path + ": " + e);
+            throw new Config.Invalid(source, "cannot read " + path + ": " + e);
         } catch (JsonParseException e) {
-            throw new Config.Invalid(what, path + " is not JSON: " + e.getMessage());
+            throw new Config.Invalid(source, path + " is not JSON: " + e.getMessage());
         }
     }
 
@@ -44,15 +44,15 @@
         return new Section(path, (Map<String, Object>) value);
     }
 
-    private String at(String key) {
+    private String pathOf(String key) {
         return path.isEmpty() ? key : path + "." + key;
     }
 
-    Config.Invalid invalid(String key, String what) {
-        return new Config.Invalid(at(key), what);
+    Config.Invalid invalid(String key, String problem) {
+        return new Config.Invalid(pathOf(key), problem);
     }
 
-    Map<String, Object> raw() {
+    Map<String, Object> values() {
         return values;
     }
 
@@ -65,7 +65,7 @@
     }
 
     /** Rejects unknown keys; for files that people write, where they are likely to be typing errors. */
-    void only(Set<String> keys) throws Config.Invalid {
+    void rejectUnknownKeys(Set<String> keys) throws Config.Invalid {
         for (String key : values.keySet()) {
             if (!keys.contains(key)) {
                 throw invalid(key, "is not a key that is known here; these are: " + String.join(", ", keys));
@@ -73,7 +73,7 @@
         }
     }
 
-    private Object present(String key) throws Config.Invalid {
+    private Object required(String key) throws Config.Invalid {
         Object value = values.get(key);
         if (value == null) {
             throw invalid(key, "is missing");
@@ -82,35 +82,35 @@
     }
 
     /** Rejects NaN and infinite numbers at any depth; they are not valid JSON, but the parser accepts them. */
-    void finite() throws Config.Invalid {
+    void requireFinite() throws Config.Invalid {
         for (String key : values.keySet()) {
-            finite(values.get(key), at(key));
+            requireFinite(values.get(key), pathOf(key));
         }
     }
 
-    private static void finite(Object value, String path) throws Config.Invalid {
+    private static void requireFinite(Object value, String path) throws Config.Invalid {
         if (value instanceof Number n && !Double.isFinite(n.doubleValue())) {
             throw new Config.Invalid(path, "is not a finite number");
         } else if (value instanceof Map<?, ?>) {
-            of(value, path).finite();
+            of(value, path).requireFinite();
         } else if (value instanceof List<?> list) {
             for (int i = 0; i < list.size(); i++) {
-                finite(list.get(i), path + "[" + i + "]");
+                requireFinite(list.get(i), path + "[" + i + "]");
             }
         }
     }
 
     Section section(String key) throws Config.Invalid {
-        return of(present(key), at(key));
+        return of(required(key), pathOf(key));
     }
 
     List<Section> sections(String key) throws Config.Invalid {
-        if (!(present(key) instanceof List<?> list)) {
+        if (!(required(key) instanceof List<?> list)) {
             throw invalid(key, "is not a list");
         }
         List<Section> sections = new ArrayList<>();
         for (Object value : list) {
-            sections.add(of(value, at(key) + "[" + sections.size() + "]"));
+            sections.add(of(value, pathOf(key) + "[" + sections.size() + "]"));
         }
         return sections;
     }
@@ -120,80 +120,80 @@
     }
 
     String text(String key) throws Config.Invalid {
-        if (!(present(key) instanceof String text) || text.isEmpty()) {
+        if (!(required(key) instanceof String text) || text.isEmpty()) {
             throw invalid(key, "is not a text");
         }
         return text;
     }
 
-    String text(String key, String absent) throws Config.Invalid {
-        return has(key) ? text(key) : absent;
+    String text(String key, String defaultValue) throws Config.Invalid {
+        return has(key) ? text(key) : defaultValue;
     }
 
     InetSocketAddress address(String key) throws Config.Invalid {
         try {
-            return ServerList.address(text(key));
+            return ServerList.parseAddress(text(key));
         } catch (IllegalArgumentException e) {
             throw invalid(key, e.getMessage());
         }
     }
 
     /** A duration above 0 s, given in seconds and capped at {@link #MAX_DURATION_S}. */
-    Duration span(String key, double absent) throws Config.Invalid {
-        Object value = has(key) ? values.get(key) : Double.valueOf(absent);
+    Duration duration(String key, double defaultS) throws Config.Invalid {
+        Object value = has(key) ? values.get(key) : Double.valueOf(defaultS);
         if (!(value instanceof Number n) || !(n.doubleValue() > 0)) {
             throw invalid(key, "is not a span of seconds above 0");
         }
-        return ModuleTime.span(Math.min(n.doubleValue(), LONGEST_S));
+        return ModuleTime.duration(Math.min(n.doubleValue(), MAX_DURATION_S));
     }
 
     /** A number of at least {@code min}, rounded down and capped at {@code max}. */
-    int atMostCount(String key, int absent, int least, int most) throws Config.Invalid {
-        Object value = has(key) ? values.get(key) : Integer.valueOf(absent);
-        if (!(value instanceof Number n) || !(n.doubleValue() >= least)) {
-            throw invalid(key, "is not a number from " + least + " on");
+    int cappedCount(String key, int defaultValue, int min, int max) throws Config.Invalid {
+        Object value = has(key) ? values.get(key) : Integer.valueOf(defaultValue);
+        if (!(value instanceof Number n) || !(n.doubleValue() >= min)) {
+            throw invalid(key, "is not a number from " + min + " on");
         }
-        return (int) Math.min(n.doubleValue(), most);
+        return (int) Math.min(n.doubleValue(), max);
     }
 
-    int count(String key, int absent, int least, int most) throws Config.Invalid {
+    int count(String key, int defaultValue, int min, int max) throws Config.Invalid {
         Object value = values.get(key);
         if (value == null) {
-            return absent;
+            return defaultValue;
         }
         if (!(value instanceof Number n)
                 || n.doubleValue() != Math.rint(n.doubleValue())
-                || n.doubleValue() < least
-                || n.doubleValue() > most) {
-            throw invalid(key, "is not a whole number from " + least + " to " + most);
+                || n.doubleValue() < min
+                || n.doubleValue() > max) {
+            throw invalid(key, "is not a whole number from " + min + " to " + max);
         }
         return n.intValue();
     }
 
     /** Rejects a number above {@code max}; the key may be absent. */
-    void atMost(String key, double most) throws Config.Invalid {
-        if (get(key) instanceof Number n && n.doubleValue() > most) {
-            throw invalid(key, "is above " + (long) most);
+    void requireAtMost(String key, double max) throws Config.Invalid {
+        if (get(key) instanceof Number n && n.doubleValue() > max) {
+            throw invalid(key, "is above " + (long) max);
         }
     }
 
     /** Rejects negative numbers and other types of value; the keys may be absent. */
-    void notNegative(String... keys) throws Config.Invalid {
+    void requireNotNegative(String... keys) throws Config.Invalid {
         for (String key : keys) {
-            notNegative(key, values.get(key));
+            requireNotNegative(key, values.get(key));
         }
     }
 
     /** Rejects negative numbers in a list; the key may be absent. */
-    void noneNegative(String key) throws Config.Invalid {
+    void requireNoneNegative(String key) throws Config.Invalid {
         if (get(key) instanceof List<?> list) {
             for (int i = 0; i < list.size(); i++) {
-                notNegative(key + "[" + i + "]", list.get(i));
+                requireNotNegative(key + "[" + i + "]", list.get(i));
             }
         }
     }
 
-    private void notNegative(String key, Object value) throws Config.Invalid {
+    private void requireNotNegative(String key, Object value) throws Config.Invalid {
         if (value != null && !(value instanceof Number)) {
             throw invalid(key, "is not a number");
         }
--- a/src/main/java/copperbeam/program/SharedFolder.java
+++ b/src/main/java/copperbeam/program/SharedFolder.java
@@ -1,8 +1,8 @@
 package copperbeam.program;
 
 import copperbeam.handover.SharedState;
-import copperbeam.handover.SharedState.Life;
 import copperbeam.handover.SharedState.Phase;
+import copperbeam.handover.SharedState.ProcessInfo;
 import copperbeam.handover.StateCodec;
 import java.io.IOException;
 import java.nio.channels.FileChannel;
@@ -28,24 +28,25 @@
  */
 final class SharedFolder implements AutoCloseable {
     private static final Logger LOG = Logger.getLogger(SharedFolder.class.getName());
-    private static final int SLOTS = 8;
-    private static final int WRITING = 100; // byte of the lock file that is locked while the state file is replaced
-    private static final int BEATING = 128; // offset of the last heartbeat in the lock file
-    private static final Duration BEAT = Duration.ofSeconds(1);
+    private static final int LOCK_SLOTS = 8;
+    private static final int WRITE_LOCK_POSITION =
+            100; // byte of the lock file that is locked while the state file is replaced
+    private static final int HEARTBEAT_POSITION = 128; // offset of the last heartbeat in the lock file
+    private static final Duration HEARTBEAT_INTERVAL = Duration.ofSeconds(1);
     // a state file that no process has used for so long is ignored; a restart takes a few seconds
-    static final Duration KEPT = Duration.ofSeconds(60);
+    static final Duration STATE_LIFETIME = Duration.ofSeconds(60);
 
     private final String conductor;
     private String incarnation;
     private final Clock clock;
     private final Path file;
-    private final Path part;
+    private final Path tempFile;
     private final FileChannel channel;
     private final LastHeld lastHeld;
-    private final FileLock own; // the operating system releases it however the process ends
+    private final FileLock ownLock; // the operating system releases it however the process ends
     private SharedState state = SharedState.EMPTY;
-    private Instant beat = Instant.MIN;
-    private String complaint = "";
+    private Instant lastHeartbeat = Instant.MIN;
+    private String lastWarning = "";
 
     /**
      * Registers this process in the shared state.
@@ -59,30 +60,31 @@
         long pid = ProcessHandle.current().pid();
         incarnation = clock.instant().toEpochMilli() + "-" + pid;
         file = folder.resolve(name + ".state");
-        part = folder.resolve(name + "." + pid + ".part");
-        Path locks = folder.resolve(name + ".lock");
-        channel = FileChannel.open(locks, StandardOpenOption.CREATE, StandardOpenOption.READ, StandardOpenOption.WRITE);
-        lastHeld = new LastHeld(channel, BEATING);
+        tempFile = folder.resolve(name + "." + pid + ".part");
+        Path lockFile = folder.resolve(name + ".lock");
+        channel = FileChannel.open(
+                lockFile, StandardOpenOption.CREATE, StandardOpenOption.READ, StandardOpenOption.WRITE);
+        lastHeld = new LastHeld(channel, HEARTBEAT_POSITION);
         try {
-            own = begin(Files.getLastModifiedTime(locks).toInstant());
+            ownLock = register(Files.getLastModifiedTime(lockFile).toInstant());
         } catch (IOException | RuntimeException e) {
             channel.close(); // releases the lock too, as this process may try again
             throw e;
         }
     }
 
-    private FileLock begin(Instant modified) throws IOException {
-        FileLock lock = claim();
+    private FileLock register(Instant lockFileModified) throws IOException {
+        FileLock lock = claimSlot();
         if (lock == null) {
-            throw new IOException("more than " + SLOTS + " processes of this conductor are running");
+            throw new IOException("more than " + LOCK_SLOTS + " processes of this conductor are running");
         }
         int slot = (int) lock.position();
-        Duration unheld = lastHeld.ago().orElse(Duration.between(modified, clock.instant()));
-        if (living(slot).size() == 1 && Files.exists(file) && unheld.compareTo(KEPT) > 0) {
-            LOG.warning(file + " is not taken: no process has used it for " + unheld.toSeconds() + " s");
+        Duration unusedFor = lastHeld.age().orElse(Duration.between(lockFileModified, clock.instant()));
+        if (heldSlots(slot).size() == 1 && Files.exists(file) && unusedFor.compareTo(STATE_LIFETIME) > 0) {
+            LOG.warning(file + " is not taken: no process has used it for " + unusedFor.toSeconds() + " s");
             Files.delete(file);
         }
-        change(slot, s -> s.life(incarnation, new Life(afterAll(s), Phase.STARTING, slot)));
+        update(slot, s -> s.withProcess(incarnation, new ProcessInfo(startTimeAfter(s), Phase.STARTING, slot)));
         return lock;
     }
 
@@ -90,18 +92,18 @@
      * The present time, or later if needed to be after the start of each known process: the wall clock may have stepped
      * back, and of two processes the one started later serves.
      */
-    private Instant afterAll(SharedState known) {
+    private Instant startTimeAfter(SharedState known) {
         Instant now = clock.instant();
-        return known.lives().values().stream()
-                .map(life -> life.started().plusMillis(1))
+        return known.processes().values().stream()
+                .map(life -> life.startedAt().plusMillis(1))
                 .filter(now::isBefore)
                 .max(Instant::compareTo)
                 .orElse(now);
     }
 
-    private FileLock claim() throws IOException {
-        for (int slot = 0; slot < SLOTS; slot++) {
-            FileLock lock = lock(slot);
+    private FileLock claimSlot() throws IOException {
+        for (int slot = 0; slot < LOCK_SLOTS; slot++) {
+            FileLock lock = tryLock(slot);
             if (lock != null) {
                 return lock;
             }
@@ -110,18 +112,18 @@
     }
 
     /** Locks one byte of the lock file; null if another process, or another conductor in this process, holds it. */
-    private FileLock lock(long at) throws IOException {
+    private FileLock tryLock(long position) throws IOException {
         try {
-            return channel.tryLock(at, 1, false);
+            return channel.tryLock(position, 1, false);
         } catch (OverlappingFileLockException e) {
             return null;
         }
     }
 
-    private Set<Integer> living(int ownSlot) throws IOException {
+    private Set<Integer> heldSlots(int ownSlot) throws IOException {
         Set<Integer> slots = new HashSet<>();
-        for (int slot = 0; slot < SLOTS; slot++) {
-            FileLock lock = slot == ownSlot ? null : lock(slot);
+        for (int slot = 0; slot < LOCK_SLOTS; slot++) {
+            FileLock lock = slot == ownSlot ? null : tryLock(slot);
             if (lock == null) {
                 slots.add(slot);
             } else {
@@ -136,26 +138,26 @@
     }
 
     /** Whether another process of this conductor runs. */
-    boolean others() {
-        return state.others(incarnation);
+    boolean hasOtherProcesses() {
+        return state.hasOthers(incarnation);
     }
 
     /** The position of this process; {@code leavingShare}: share of cold-server work for a process that has a successor. */
-    Handover.Beside beside(double leaving) {
-        boolean serving = false;
-        boolean left = false;
-        for (Map.Entry<String, Life> other : state.lives().entrySet()) {
+    Handover.Beside computeBeside(double leavingShare) {
+        boolean otherServes = false;
+        boolean otherLeaves = false;
+        for (Map.Entry<String, ProcessInfo> other : state.processes().entrySet()) {
             if (!other.getKey().equals(incarnation)) {
-                serving |= other.getValue().phase() == Phase.SERVING;
-                left |= other.getValue().phase() == Phase.LEAVING;
+                otherServes |= other.getValue().phase() == Phase.SERVING;
+                otherLeaves |= other.getValue().phase() == Phase.LEAVING;
             }
         }
-        double part = succeeded() ? leaving : serving ? 0.5 : left ? 1 - leaving : 1;
-        return new Handover.Beside(others(), succeeded(), part);
+        double share = hasSuccessor() ? leavingShare : otherServes ? 0.5 : otherLeaves ? 1 - leavingShare : 1;
+        return new Handover.Beside(hasOtherProcesses(), hasSuccessor(), share);
     }
 
     /** Whether a process started later is serving. */
-    boolean succeeded() {
+    boolean hasSuccessor() {
         return state.successor(incarnation).isPresent();
     }
 
@@ -163,43 +165,43 @@
      * Sets the phase of this process. As a process in the shared state never returns to an earlier phase, going back adds it
      * under a new incarnation with the same start time and slot.
      */
-    void phase(Phase phase) {
-        Life before = state.lives().get(incarnation);
+    void setPhase(Phase phase) {
+        ProcessInfo before = state.processes().get(incarnation);
         if (phase.compareTo(before.phase()) < 0) {
             incarnation += "+";
         }
-        change(s -> s.life(incarnation, new Life(before.started(), phase, before.slot())));
+        update(s -> s.withProcess(incarnation, new ProcessInfo(before.startedAt(), phase, before.lockSlot())));
     }
 
     /** Merges what other processes have written, and writes back what they lack. */
-    void look() {
-        change(s -> s);
+    void refresh() {
+        update(s -> s);
     }
 
     /** Applies a change to the state and writes it; any process that reads after this returns sees it. */
-    void change(UnaryOperator<SharedState> change) {
-        change((int) own.position(), change);
+    void update(UnaryOperator<SharedState> change) {
+        update((int) ownLock.position(), change);
     }
 
-    private void change(int ownSlot, UnaryOperator<SharedState> change) {
-        FileLock writing = null;
+    private void update(int ownSlot, UnaryOperator<SharedState> change) {
+        FileLock writeLock = null;
         try {
-            writing = writing();
-            SharedState theirs = read();
-            state = change.apply(state.merge(theirs)).living(living(ownSlot));
-            if (!state.equals(theirs)) {
-                Files.write(part, StateCodec.write(conductor, state, clock.instant()));
-                Files.move(part, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+            writeLock = acquireWriteLock();
+            SharedState stored = readFile();
+            state = change.apply(state.merge(stored)).withoutDead(heldSlots(ownSlot));
+            if (!state.equals(stored)) {
+                Files.write(tempFile, StateCodec.encode(conductor, state, clock.instant()));
+                Files.move(tempFile, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
             }
-            if (beat.plus(BEAT).isBefore(clock.instant())) {
-                beat = clock.instant();
+            if (lastHeartbeat.plus(HEARTBEAT_INTERVAL).isBefore(clock.instant())) {
+                lastHeartbeat = clock.instant();
                 lastHeld.write();
             }
         } catch (IOException e) {
             state = change.apply(state);
-            complain("cannot write the state shared with other processes: " + e);
+            warnOnce("cannot write the state shared with other processes: " + e);
         } finally {
-            release(writing);
+            release(writeLock);
         }
     }
 
@@ -207,9 +209,9 @@
      * Waits up to 40 ms for the write lock. Null if another process holds it for longer; it may have been suspended, and
      * whatever it overwrites when it continues is restored by the next merge.
      */
-    private FileLock writing() throws IOException {
+    private FileLock acquireWriteLock() throws IOException {
         for (int i = 0; i < 20; i++) {
-            FileLock lock = lock(WRITING);
+            FileLock lock = tryLock(WRITE_LOCK_POSITION);
             if (lock != null) {
                 return lock;
             }
@@ -229,26 +231,26 @@
                 lock.release();
             }
         } catch (IOException e) {
-            complain("cannot release a lock: " + e);
+            warnOnce("cannot release a lock: " + e);
         }
     }
 
-    private SharedState read() throws IOException {
+    private SharedState readFile() throws IOException {
         try {
-            SharedState read =
-                    Files.exists(file) ? StateCodec.read(conductor, Files.readAllBytes(file)) : SharedState.EMPTY;
-            complaint = "";
-            return read;
-        } catch (StateCodec.Refused e) {
-            complain(file + " is not taken: " + e.getMessage());
+            SharedState stored =
+                    Files.exists(file) ? StateCodec.decode(conductor, Files.readAllBytes(file)) : SharedState.EMPTY;
+            lastWarning = "";
+            return stored;
+        } catch (StateCodec.InvalidStateException e) {
+            warnOnce(file + " is not taken: " + e.getMessage());
             return SharedState.EMPTY;
         }
     }
 
-    private void complain(String what) {
-        if (!what.equals(complaint)) {
-            complaint = what;
-            LOG.warning(what);
+    private void warnOnce(String warning) {
+        if (!warning.equals(lastWarning)) {
+            lastWarning = warning;
+            LOG.warning(warning);
         }
     }
 
--- a/src/main/java/copperbeam/program/StopLogManager.java
+++ b/src/main/java/copperbeam/program/StopLogManager.java
@@ -7,16 +7,16 @@
  * of the stop would be lost.
  */
 public final class StopLogManager extends LogManager {
-    private static volatile boolean kept;
+    private static volatile boolean keepOpen;
 
     /** Keeps the log handlers open from now on. */
-    static void keep() {
-        kept = true;
+    static void keepOpen() {
+        keepOpen = true;
     }
 
     @Override
     public void reset() {
-        if (!kept) {
+        if (!keepOpen) {
             super.reset();
         }
     }
--- a/src/main/java/copperbeam/program/WarmUp.java
+++ b/src/main/java/copperbeam/program/WarmUp.java
@@ -17,10 +17,11 @@
  */
 final class WarmUp {
     private static final int REQUESTS = 10;
-    private static final int STEPS = 8; // per request
+    private static final int MAX_ATTEMPTS = 8; // per request
     private static final int CALLS = 3;
-    private static final Duration SILENCE = Duration.ofSeconds(1);
-    private static final int MOST = 64 * 1024; // limit for the body of an answer; those of this process are much shorter
+    private static final Duration CALL_TIMEOUT = Duration.ofSeconds(1);
+    private static final int MAX_ANSWER_BYTES =
+            64 * 1024; // limit for the body of an answer; those of this process are much shorter
 
     private WarmUp() {}
 
@@ -29,89 +30,91 @@
      *
      * @param ownAddress address of this process's front; null: no calls are made
      */
-    static void start(Api.Settings settings, HttpClient client, InetSocketAddress self, Runnable warm) {
-        module(settings);
-        if (self == null) {
-            warm.run();
+    static void start(Api.Settings settings, HttpClient client, InetSocketAddress ownAddress, Runnable onDone) {
+        runModule(settings);
+        if (ownAddress == null) {
+            onDone.run();
         } else {
-            call(client, self, new AtomicInteger(), warm);
+            call(client, ownAddress, new AtomicInteger(), onDone);
         }
     }
 
-    private static void call(HttpClient client, InetSocketAddress self, AtomicInteger done, Runnable warm) {
-        int number = done.getAndIncrement();
+    private static void call(
+            HttpClient client, InetSocketAddress ownAddress, AtomicInteger callsMade, Runnable onDone) {
+        int number = callsMade.getAndIncrement();
         if (number >= CALLS) {
-            warm.run();
+            onDone.run();
             return;
         }
         // as the request has no id, the front answers it with status 400, and no attempt is made
         byte[] body = number % 2 == 0 ? null : "{\"stream\":true}".getBytes(StandardCharsets.UTF_8);
-        client.whole(
-                self,
+        client.fetch(
+                ownAddress,
                 body == null ? "GET" : "POST",
                 body == null ? "/healthz" : "/v1/chat/completions",
                 body,
-                new HttpClient.Patience(SILENCE, SILENCE),
-                MOST,
-                answer -> call(client, self, done, warm));
+                new HttpClient.Timeouts(CALL_TIMEOUT, CALL_TIMEOUT),
+                MAX_ANSWER_BYTES,
+                answer -> call(client, ownAddress, callsMade, onDone));
     }
 
-    private static void module(Api.Settings settings) {
+    private static void runModule(Api.Settings settings) {
         Brain brain = new Brain(settings, 1);
         List<Api.Member> members = new ArrayList<>();
-        for (Api.Kind kind : settings.kinds()) {
+        for (Api.ServerKind kind : settings.kinds()) {
             for (int i = 0; i < 6; i++) {
                 members.add(new Api.Member(kind.name() + i, "zone", kind.name(), i % 2, Api.ServerState.READY, 1, 0));
             }
         }
         double now = 1;
-        brain.on(now, new Api.Members(Api.ListKind.FULL, members));
+        brain.onEvent(now, new Api.ServerListUpdate(Api.ListKind.FULL, members));
         for (int i = 0; i < REQUESTS; i++, now += 0.05) {
             String requestClass =
                     settings.classes().get(i % settings.classes().size()).name();
-            List<Api.Action> actions = brain.on(
+            List<Api.Action> actions = brain.onEvent(
                     now, new Api.Arrival(i, requestClass, null, "s" + i % 40, "p" + i % 7, 2000, 1000, 200, now + 5));
             // bounded, as the settings may allow any number of attempts, and the start must not take so long
             for (int attempt = 0;
-                    attempt < Math.min(settings.limits().maxAttempts(), STEPS) && !actions.isEmpty();
+                    attempt < Math.min(settings.limits().maxAttempts(), MAX_ATTEMPTS) && !actions.isEmpty();
                     attempt++) {
-                actions = step(brain, now, i, attempt, actions);
+                actions = applyActions(brain, now, i, attempt, actions);
             }
         }
     }
 
     /** Feeds the module the results of its actions (probes, short timers, a read, then a complete stream); returns new ones. */
-    private static List<Api.Action> step(Brain brain, double now, long request, int attempt, List<Api.Action> actions) {
-        List<Api.Action> next = new ArrayList<>();
+    private static List<Api.Action> applyActions(
+            Brain brain, double now, long request, int attempt, List<Api.Action> actions) {
+        List<Api.Action> nextActions = new ArrayList<>();
         for (Api.Action action : actions) {
             if (action instanceof Api.Probe p) {
-                next.addAll(brain.on(
+                nextActions.addAll(brain.onEvent(
                         now + 0.002,
-                        new Api.Probed(
+                        new Api.ProbeEnded(
                                 p.server(),
                                 Api.Outcome.OK,
                                 0.002,
                                 new Api.Report(Double.NaN, Double.NaN, 3, 0.2, Double.NaN))));
-            } else if (action instanceof Api.Timer t && t.afterS() < 0.1) {
-                next.addAll(brain.on(now + t.afterS(), new Api.TimerFired(t.tag())));
+            } else if (action instanceof Api.Timer t && t.delayS() < 0.1) {
+                nextActions.addAll(brain.onEvent(now + t.delayS(), new Api.TimerFired(t.tag())));
             } else if (action instanceof Api.Attempt a) {
-                boolean read = attempt % 2 == 0;
-                if (!read) {
-                    brain.on(now + 0.03, new Api.StreamStarted(request, attempt, a.server(), 0.03));
+                boolean isRead = attempt % 2 == 0;
+                if (!isRead) {
+                    brain.onEvent(now + 0.03, new Api.StreamStarted(request, attempt, a.server(), 0.03));
                 }
-                next.addAll(brain.on(
+                nextActions.addAll(brain.onEvent(
                         now + 0.04,
                         new Api.AttemptEnded(
                                 request,
                                 attempt,
                                 a.server(),
-                                read ? Api.Outcome.READ : Api.Outcome.OK,
+                                isRead ? Api.Outcome.READ : Api.Outcome.OK,
                                 0.04,
-                                !read,
+                                !isRead,
                                 false,
                                 null)));
             }
         }
-        return next;
+        return nextActions;
     }
 }
--- a/src/main/java/copperbeam/protocol/BadRequest.java
+++ b/src/main/java/copperbeam/protocol/BadRequest.java
@@ -5,8 +5,8 @@
     private static final long serialVersionUID = 1L;
     private final int status;
 
-    public BadRequest(int status, String what) {
-        super(what);
+    public BadRequest(int status, String message) {
+        super(message);
         this.status = status;
     }
 
--- a/src/main/java/copperbeam/protocol/EventSplitter.java
+++ b/src/main/java/copperbeam/protocol/EventSplitter.java
@@ -11,15 +11,17 @@
  * events is rejected, so that chunk sizes or other noise from a server with broken framing never reach a client.
  */
 public final class EventSplitter {
-    private static final int MOST = 32 * 1024; // bytes of one event; below the initial receive window of 65,535 bytes
-    private static final int FIELD = 6; // bytes kept of a line, enough for the longest field name and its colon
-    private static final List<byte[]> FIELDS = List.of(ascii("data"), ascii("event"), ascii("id"), ascii("retry"));
+    private static final int MAX_EVENT_BYTES =
+            32 * 1024; // bytes of one event; below the initial receive window of 65,535 bytes
+    private static final int LINE_PREFIX_BYTES =
+            6; // bytes kept of a line, enough for the longest field name and its colon
+    private static final List<byte[]> FIELD_NAMES = List.of(ascii("data"), ascii("event"), ascii("id"), ascii("retry"));
 
-    private final ByteArrayOutputStream part = new ByteArrayOutputStream();
-    private final byte[] line = new byte[FIELD];
-    private int length; // of the current line so far; its line break doesn't count
-    private boolean filled; // the current event has a field or a comment
-    private boolean carriage; // the last byte of the current line so far is a carriage return
+    private final ByteArrayOutputStream pending = new ByteArrayOutputStream();
+    private final byte[] linePrefix = new byte[LINE_PREFIX_BYTES];
+    private int lineLength; // of the current line so far; its line break doesn't count
+    private boolean hasField; // the current event has a field or a comment
+    private boolean endsWithCarriageReturn; // the last byte of the current line so far is a carriage return
 
     private static byte[] ascii(String text) {
         return text.getBytes(StandardCharsets.US_ASCII);
@@ -30,30 +32,30 @@
      *
      * @return false if the input isn't a stream of events; events that were complete before were passed on
      */
-    public boolean take(ByteBuffer bytes, Consumer<byte[]> event) {
+    public boolean accept(ByteBuffer bytes, Consumer<byte[]> eventSink) {
         while (bytes.hasRemaining()) {
-            byte b = bytes.get();
-            part.write(b);
-            if (b == '\n') {
-                length -= carriage ? 1 : 0;
-                if (length > 0 && !field()) {
+            byte nextByte = bytes.get();
+            pending.write(nextByte);
+            if (nextByte == '\n') {
+                lineLength -= endsWithCarriageReturn ? 1 : 0;
+                if (lineLength > 0 && !isFieldOrComment()) {
                     return false;
-                } else if (length > 0) {
-                    filled = true;
-                } else if (filled) {
+                } else if (lineLength > 0) {
+                    hasField = true;
+                } else if (hasField) {
                     // blank lines alone are no event; they are passed on as part of the next one
-                    cut(event);
+                    emit(eventSink);
                 }
-                length = 0;
-                carriage = false;
+                lineLength = 0;
+                endsWithCarriageReturn = false;
             } else {
-                if (length < FIELD) {
-                    line[length] = b;
+                if (lineLength < LINE_PREFIX_BYTES) {
+                    linePrefix[lineLength] = nextByte;
                 }
-                length++;
-                carriage = b == '\r';
+                lineLength++;
+                endsWithCarriageReturn = nextByte == '\r';
             }
-            if (part.size() > MOST) {
+            if (pending.size() > MAX_EVENT_BYTES) {
                 return false;
             }
         }
@@ -61,36 +63,36 @@
     }
 
     /** Passes on what is left at the end of the stream. Returns false if that isn't a part of an event. */
-    public boolean end(Consumer<byte[]> rest) {
-        if (length > 0 && !field()) {
+    public boolean finish(Consumer<byte[]> eventSink) {
+        if (lineLength > 0 && !isFieldOrComment()) {
             return false;
         }
-        cut(rest);
+        emit(eventSink);
         return true;
     }
 
     /** Whether the current line is a comment or a known field, with a colon or without. */
-    private boolean field() {
-        if (line[0] == ':') {
+    private boolean isFieldOrComment() {
+        if (linePrefix[0] == ':') {
             return true;
         }
-        for (byte[] name : FIELDS) {
-            boolean named = length >= name.length;
-            for (int i = 0; named && i < name.length; i++) {
-                named = line[i] == name[i];
+        for (byte[] name : FIELD_NAMES) {
+            boolean matches = lineLength >= name.length;
+            for (int i = 0; matches && i < name.length; i++) {
+                matches = linePrefix[i] == name[i];
             }
-            if (named && (length == name.length || line[name.length] == ':')) {
+            if (matches && (lineLength == name.length || linePrefix[name.length] == ':')) {
                 return true;
             }
         }
         return false;
     }
 
-    private void cut(Consumer<byte[]> to) {
-        if (part.size() > 0) {
-            to.accept(part.toByteArray());
-            part.reset();
-            filled = false;
+    private void emit(Consumer<byte[]> eventSink) {
+        if (pending.size() > 0) {
+            eventSink.accept(pending.toByteArray());
+            pending.reset();
+            hasField = false;
         }
     }
 }
--- a/src/main/java/copperbeam/protocol/HttpCall.java
+++ b/src/main/java/copperbeam/protocol/HttpCall.java
@@ -1,6 +1,6 @@
 package copperbeam.protocol;
 
-import copperbeam.routing.Ask;
+import copperbeam.routing.RequestSpec;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.Map;
@@ -13,12 +13,17 @@
  * @param maxQueueTime how long it may have waited before that because its connection wasn't accepted yet
  */
 public record HttpCall(
-        String method, String target, Map<String, String> headers, byte[] body, Instant arrived, Duration queued)
-        implements Ask.Payload {
+        String method,
+        String target,
+        Map<String, String> headers,
+        byte[] body,
+        Instant arrivedAt,
+        Duration maxQueueTime)
+        implements RequestSpec.Payload {
 
     /** Creates a request that didn't wait for its connection to be accepted. */
-    public HttpCall(String method, String target, Map<String, String> headers, byte[] body, Instant arrived) {
-        this(method, target, headers, body, arrived, Duration.ZERO);
+    public HttpCall(String method, String target, Map<String, String> headers, byte[] body, Instant arrivedAt) {
+        this(method, target, headers, body, arrivedAt, Duration.ZERO);
     }
 
     public String path() {
@@ -27,13 +32,13 @@
     }
 
     /** Whether this is a request for the health of this process, which each front answers. */
-    public boolean asksForHealth() {
+    public boolean isHealthCheck() {
         return path().equals("/healthz");
     }
 
     /** Whether {@code X-Retried} has the value of a client that asks for the rest of a broken stream; such a request has run. */
-    public static boolean resumes(String retried) {
-        return "again".equals(retried);
+    public static boolean isResumption(String retriedHeader) {
+        return "again".equals(retriedHeader);
     }
 
     public String header(String name) {
--- a/src/main/java/copperbeam/protocol/HttpClient.java
+++ b/src/main/java/copperbeam/protocol/HttpClient.java
@@ -9,11 +9,11 @@
 /** Makes HTTP calls to services other than the servers, such as discovery. */
 public interface HttpClient {
     /** {@code connectTimeout}: time limit to connect; {@code silenceTimeout}: a call fails after this time without a byte. */
-    record Patience(Duration connect, Duration silence) {}
+    record Timeouts(Duration connectTimeout, Duration silenceTimeout) {}
 
     /** Makes a call. The returned callback cancels it. */
     Runnable send(
-            InetSocketAddress to, String method, String target, byte[] body, Patience patience, Response response);
+            InetSocketAddress address, String method, String target, byte[] body, Timeouts timeouts, Response response);
 
     /** Receives the response; the last notification is {@code end} or {@code failed}. */
     interface Response {
@@ -24,26 +24,26 @@
 
         void end();
 
-        void failed(String why);
+        void failed(String reason);
     }
 
     /** A complete response; or, with {@code status} 0, none, and {@code failure} says why (else it is null). */
-    record Answer(int status, byte[] body, String fault) {}
+    record FullResponse(int status, byte[] body, String failure) {}
 
     /**
      * Makes a call and collects the response. A body above {@code maxBodyBytes} fails the call, as an endless one would fill
      * the memory.
      */
-    default Runnable whole(
-            InetSocketAddress to,
+    default Runnable fetch(
+            InetSocketAddress address,
             String method,
             String target,
             byte[] body,
-            Patience patience,
-            int most,
-            Consumer<Answer> whole) {
-        return send(to, method, target, body, patience, new Response() {
-            private final ByteArrayOutputStream all = new ByteArrayOutputStream();
+            Timeouts timeouts,
+            int maxBodyBytes,
+            Consumer<FullResponse> onResponse) {
+        return send(address, method, target, body, timeouts, new Response() {
+            private final ByteArrayOutputStream received = new ByteArrayOutputStream();
             private int status;
 
             @Override
@@ -53,20 +53,20 @@
 
             @Override
             public void data(byte[] bytes) throws IOException {
-                if (all.size() + bytes.length > most) {
-                    throw new IOException("a body above " + most + " bytes");
+                if (received.size() + bytes.length > maxBodyBytes) {
+                    throw new IOException("a body above " + maxBodyBytes + " bytes");
                 }
-                all.writeBytes(bytes);
+                received.writeBytes(bytes);
             }
 
             @Override
             public void end() {
-                whole.accept(new Answer(status, all.toByteArray(), null));
+                onResponse.accept(new FullResponse(status, received.toByteArray(), null));
             }
 
             @Override
             public void failed(String why) {
-                whole.accept(new Answer(0, new byte[0], why));
+                onResponse.accept(new FullResponse(0, new byte[0], why));
             }
         });
     }
--- a/src/main/java/copperbeam/protocol/HttpReply.java
+++ b/src/main/java/copperbeam/protocol/HttpReply.java
@@ -5,20 +5,20 @@
 /** Sends the response to a client's request. The methods may be called from any thread, but not concurrently. */
 public interface HttpReply {
     /** Sends a complete response. */
-    void whole(int status, String contentType, Map<String, String> headers, byte[] body);
+    void respond(int status, String contentType, Map<String, String> headers, byte[] body);
 
     /** Sends the head of a streamed response. */
-    void begin(String contentType, Map<String, String> headers);
+    void beginStream(String contentType, Map<String, String> headers);
 
     /** Sends a part of a streamed response. {@code onDrained} is run once the connection has taken the bytes. */
-    void write(byte[] bytes, Runnable drained);
+    void write(byte[] bytes, Runnable onDrained);
 
     /** Ends the stream with its last chunk. */
-    void end();
+    void endStream();
 
     /** Closes the connection after everything written was sent, without a last chunk, so that the client sees a broken stream. */
     void abort();
 
     /** Whether the client went away before its response was complete. */
-    boolean gone();
+    boolean isClientGone();
 }
--- a/src/main/java/copperbeam/protocol/Json.java
+++ b/src/main/java/copperbeam/protocol/Json.java
@@ -26,20 +26,20 @@
             .serializeNulls()
             .create();
 
-    private static final int MOST_DEPTH = 128; // levels; the schema of a tool in a chat request has about ten
+    private static final int MAX_DEPTH = 128; // levels; the schema of a tool in a chat request has about ten
 
     private Json() {}
 
     /** Parses exactly one JSON value; throws {@link IllegalArgumentException} with the problem if it can't. */
-    public static JsonElement strict(String text) {
+    public static JsonElement parseStrict(String text) {
         try {
             JsonReader reader = new JsonReader(new StringReader(text));
             reader.setStrictness(Strictness.STRICT); // lenient parsing accepts unquoted strings, and '=' for ':'
-            JsonElement all = JsonParser.parseReader(reader);
+            JsonElement parsed = JsonParser.parseReader(reader);
             if (reader.peek() != JsonToken.END_DOCUMENT) {
                 throw new IllegalArgumentException("more than one JSON text");
             }
-            return all;
+            return parsed;
         } catch (JsonParseException | IOException e) {
             throw new IllegalArgumentException(
                     "no JSON: " + e.getMessage().lines().findFirst().orElse(""), e);
@@ -47,15 +47,15 @@
     }
 
     /** Whether the nesting exceeds the limit. Gson copies and writes nested values recursively, which could overflow the stack. */
-    public static boolean nestsTooDeep(JsonElement all) {
-        List<JsonElement> level = List.of(all);
-        for (int i = 0; i <= MOST_DEPTH && !level.isEmpty(); i++) {
+    public static boolean isNestedTooDeep(JsonElement root) {
+        List<JsonElement> level = List.of(root);
+        for (int i = 0; i <= MAX_DEPTH && !level.isEmpty(); i++) {
             List<JsonElement> next = new ArrayList<>();
-            for (JsonElement e : level) {
-                if (e.isJsonArray()) {
-                    e.getAsJsonArray().forEach(next::add);
-                } else if (e.isJsonObject()) {
-                    e.getAsJsonObject().asMap().values().forEach(next::add);
+            for (JsonElement element : level) {
+                if (element.isJsonArray()) {
+                    element.getAsJsonArray().forEach(next::add);
+                } else if (element.isJsonObject()) {
+                    element.getAsJsonObject().asMap().values().forEach(next::add);
                 }
             }
             level = next;
--- a/src/main/java/copperbeam/protocol/discovery/DiscoveryWatch.java
+++ b/src/main/java/copperbeam/protocol/discovery/DiscoveryWatch.java
@@ -21,175 +21,181 @@
 /** Reads the server list from the platform's discovery service: makes the calls that a {@link WatchPlan} asks for. */
 public final class DiscoveryWatch implements MembershipSource {
     private static final Logger LOG = Logger.getLogger(DiscoveryWatch.class.getName());
-    private static final HttpClient.Patience PATIENCE = new HttpClient.Patience(WatchPlan.CONNECT, WatchPlan.TOLD);
-    private static final int MOST = 256 * 1024; // the protocol's limit for every body
-    private static final int MOST_LINES = 16; // distinct log lines between two good responses
-    private static final int LONGEST_LINE = 200; // as the text may come from a response
+    private static final HttpClient.Timeouts TIMEOUTS =
+            new HttpClient.Timeouts(WatchPlan.CONNECT_TIMEOUT, WatchPlan.INFORMED_AFTER);
+    private static final int MAX_BODY_BYTES = 256 * 1024; // the protocol's limit for every body
+    private static final int MAX_LOGGED_PROBLEMS = 16; // distinct log lines between two good responses
+    private static final int MAX_PROBLEM_CHARS = 200; // as the text may come from a response
 
-    private sealed interface Message permits Move, Answered, Late, Woken, Stop {}
+    private sealed interface Message permits Move, CallAnswered, CallTimedOut, TimerFired, Stop {}
 
     private record Move(InetSocketAddress agent, Sink sink) implements Message {}
 
-    private record Answered(int call, HttpClient.Answer answer) implements Message {}
+    private record CallAnswered(int callId, HttpClient.FullResponse response) implements Message {}
 
-    private record Late(int call) implements Message {}
+    private record CallTimedOut(int callId) implements Message {}
 
-    private record Woken(int token) implements Message {}
+    private record TimerFired(int token) implements Message {}
 
     private record Stop() implements Message {}
 
-    private record Out(WatchPlan.Ask ask, Instant asked, Runnable end) {}
+    private record OpenCall(WatchPlan.StartCall request, Instant startedAt, Runnable cancel) {}
 
     private final class Watcher extends Actor<Message> {
         private final WatchPlan plan;
-        private final Map<Integer, Out> out = new HashMap<>();
-        private final Set<String> said = new HashSet<>(); // since the last good response
+        private final Map<Integer, OpenCall> openCalls = new HashMap<>();
+        private final Set<String> loggedProblems = new HashSet<>(); // since the last good response
         private Sink sink;
         private boolean stopped;
 
-        Watcher(ScheduledExecutorService turns, boolean servers, Backoff backoff) {
-            super(turns);
-            plan = new WatchPlan(backoff, servers);
+        Watcher(ScheduledExecutorService scheduler, boolean serversExpected, Backoff backoff) {
+            super(scheduler);
+            plan = new WatchPlan(backoff, serversExpected);
         }
 
         @Override
-        protected void receive(Message m) {
+        protected void receive(Message message) {
             if (stopped) {
                 return;
             }
-            if (m instanceof Move e) {
+            if (message instanceof Move e) {
                 sink = e.sink() == null ? sink : e.sink();
                 LOG.fine(() -> "discovery: to " + e.agent());
-                take(
-                        e.sink() == null || known == null
-                                ? plan.move(e.agent())
-                                : plan.begin(e.agent(), known, clock.instant()));
-            } else if (m instanceof Answered e) {
-                Out call = out.remove(e.call());
+                carryOut(
+                        e.sink() == null || knownList == null
+                                ? plan.moveTo(e.agent())
+                                : plan.startFrom(e.agent(), knownList, clock.instant()));
+            } else if (message instanceof CallAnswered e) {
+                OpenCall call = openCalls.remove(e.callId());
                 if (call != null) {
-                    take(answered(call.ask(), e.answer()));
+                    carryOut(onAnswer(call.request(), e.response()));
                 }
-            } else if (m instanceof Late e) {
-                Out call = out.remove(e.call());
+            } else if (message instanceof CallTimedOut e) {
+                OpenCall call = openCalls.remove(e.callId());
                 if (call != null) {
-                    call.end().run();
-                    say(call.ask(), "no whole answer in time");
-                    take(plan.failed(e.call(), false));
+                    call.cancel().run();
+                    logProblem(call.request(), "no whole answer in time");
+                    carryOut(plan.onFailure(e.callId(), false));
                 }
-            } else if (m instanceof Woken e) {
-                take(plan.woken(e.token(), clock.instant()));
-            } else if (m instanceof Stop) {
+            } else if (message instanceof TimerFired e) {
+                carryOut(plan.onTimer(e.token(), clock.instant()));
+            } else if (message instanceof Stop) {
                 stopped = true;
-                out.values().forEach(o -> o.end().run());
+                openCalls.values().forEach(o -> o.cancel().run());
             }
         }
 
-        private List<WatchPlan.Step> answered(WatchPlan.Ask ask, HttpClient.Answer a) {
-            if (a.status() != 200) {
-                return bad(
-                        ask,
-                        a.status() >= 400 && a.status() < 500,
-                        a.status() == 0 ? a.fault() : "status " + a.status());
+        private List<WatchPlan.Action> onAnswer(WatchPlan.StartCall request, HttpClient.FullResponse response) {
+            if (response.status() != 200) {
+                return onFailure(
+                        request,
+                        response.status() >= 400 && response.status() < 500,
+                        response.status() == 0 ? response.failure() : "status " + response.status());
             }
             try {
-                ServerList list = ServerList.parse(new String(a.body(), StandardCharsets.UTF_8));
-                if (ask.from() < 0 && !list.full()) {
+                ServerList list = ServerList.parse(new String(response.body(), StandardCharsets.UTF_8));
+                if (request.sinceVersion() < 0 && !list.full()) {
                     throw new IllegalArgumentException("only changes, although the full list was requested");
                 }
-                List<WatchPlan.Step> steps = plan.answered(
-                        ask.call(),
+                List<WatchPlan.Action> actions = plan.onAnswer(
+                        request.callId(),
                         new WatchPlan.Listing(list.version(), list.full(), list.entries()),
                         clock.instant());
                 if (list.full()
                         && list.entries().isEmpty()
-                        && steps.stream().noneMatch(WatchPlan.Tell.class::isInstance)) {
-                    say(ask, "the list is empty, although servers were known before");
+                        && actions.stream().noneMatch(WatchPlan.Publish.class::isInstance)) {
+                    logProblem(request, "the list is empty, although servers were known before");
                 } else {
-                    said.clear();
+                    loggedProblems.clear();
                 }
-                return steps;
+                return actions;
             } catch (IllegalArgumentException problem) {
-                return bad(ask, false, problem.getMessage());
+                return onFailure(request, false, problem.getMessage());
             }
         }
 
         /** Handles a failed or invalid response, of which nothing is used. {@code versionGone}: its status is 4xx. */
-        private List<WatchPlan.Step> bad(WatchPlan.Ask ask, boolean gone, String why) {
-            say(ask, why);
-            return plan.failed(ask.call(), gone);
+        private List<WatchPlan.Action> onFailure(WatchPlan.StartCall request, boolean versionGone, String reason) {
+            logProblem(request, reason);
+            return plan.onFailure(request.callId(), versionGone);
         }
 
         /** Logs each distinct problem once, because in an outage about ten calls per second may fail for the same reason. */
-        private void say(WatchPlan.Ask ask, String why) {
-            String line = "discovery at " + ask.at() + ": " + why.replaceAll("\\p{Cntrl}", " ");
-            if (said.size() < MOST_LINES && said.add(line)) {
-                LOG.warning(line.substring(0, Math.min(LONGEST_LINE, line.length())) + "; the server list is unchanged");
+        private void logProblem(WatchPlan.StartCall request, String problem) {
+            String line = "discovery at " + request.address() + ": " + problem.replaceAll("\\p{Cntrl}", " ");
+            if (loggedProblems.size() < MAX_LOGGED_PROBLEMS && loggedProblems.add(line)) {
+                LOG.warning(line.substring(0, Math.min(MAX_PROBLEM_CHARS, line.length()))
+                        + "; the server list is unchanged");
             }
         }
 
-        private void take(List<WatchPlan.Step> steps) {
-            takeAll(steps.iterator());
+        private void carryOut(List<WatchPlan.Action> actions) {
+            carryOutAll(actions.iterator());
         }
 
         /** Carries out each action even if an earlier one throws: without the next call and its timer the watch would stop. */
-        private void takeAll(Iterator<WatchPlan.Step> steps) {
-            if (steps.hasNext()) {
+        private void carryOutAll(Iterator<WatchPlan.Action> actions) {
+            if (actions.hasNext()) {
                 try {
-                    takeOne(steps.next());
+                    carryOutOne(actions.next());
                 } finally {
-                    takeAll(steps);
+                    carryOutAll(actions);
                 }
             }
         }
 
-        private void takeOne(WatchPlan.Step step) {
-            if (step instanceof WatchPlan.Ask s) {
-                ask(s);
-            } else if (step instanceof WatchPlan.Drop s) {
-                drop(s);
-            } else if (step instanceof WatchPlan.Wake s) {
-                tellLater(s.after(), new Woken(s.token()));
-            } else if (step instanceof WatchPlan.Tell s) {
+        private void carryOutOne(WatchPlan.Action action) {
+            if (action instanceof WatchPlan.StartCall s) {
+                startCall(s);
+            } else if (action instanceof WatchPlan.CancelCall s) {
+                cancelCall(s);
+            } else if (action instanceof WatchPlan.StartTimer s) {
+                tellLater(s.delay(), new TimerFired(s.token()));
+            } else if (action instanceof WatchPlan.Publish s) {
                 sink.changed(s.change());
             }
         }
 
-        private void drop(WatchPlan.Drop s) {
-            Out call = out.remove(s.call());
+        private void cancelCall(WatchPlan.CancelCall action) {
+            OpenCall call = openCalls.remove(action.callId());
             if (call == null) {
                 return;
             }
-            call.end().run();
-            if (clock.instant().isAfter(call.asked().plus(call.ask().hold()).plus(WatchPlan.SILENCE))) {
-                say(call.ask(), "no whole answer in time");
+            call.cancel().run();
+            if (clock.instant()
+                    .isAfter(call.startedAt().plus(call.request().maxWait()).plus(WatchPlan.SILENCE_TIMEOUT))) {
+                logProblem(call.request(), "no whole answer in time");
             }
         }
 
-        private void ask(WatchPlan.Ask s) {
-            String target = s.from() < 0
+        private void startCall(WatchPlan.StartCall request) {
+            String target = request.sinceVersion() < 0
                     ? "/v1/servers"
-                    : "/v1/servers?from=" + s.from() + "&hold_ms=" + s.hold().toMillis();
-            out.put(
-                    s.call(),
-                    new Out(
-                            s,
+                    : "/v1/servers?from=" + request.sinceVersion() + "&hold_ms="
+                            + request.maxWait().toMillis();
+            openCalls.put(
+                    request.callId(),
+                    new OpenCall(
+                            request,
                             clock.instant(),
-                            client.whole(
-                                    s.at(),
+                            client.fetch(
+                                    request.address(),
                                     "GET",
                                     target,
                                     null,
-                                    PATIENCE,
-                                    MOST,
-                                    answer -> tell(new Answered(s.call(), answer)))));
-            tellLater(WatchPlan.TOLD, new Late(s.call())); // also ends a call that trickles bytes
+                                    TIMEOUTS,
+                                    MAX_BODY_BYTES,
+                                    response -> tell(new CallAnswered(request.callId(), response)))));
+            tellLater(
+                    WatchPlan.INFORMED_AFTER,
+                    new CallTimedOut(request.callId())); // also ends a call that trickles bytes
         }
     }
 
     private final HttpClient client;
     private final Clock clock;
     private final InetSocketAddress agent;
-    private final WatchPlan.Listing known;
+    private final WatchPlan.Listing knownList;
     private final Watcher watcher;
 
     /**
@@ -197,18 +203,18 @@
      * had servers.
      */
     public DiscoveryWatch(
-            ScheduledExecutorService turns,
+            ScheduledExecutorService scheduler,
             HttpClient client,
             Clock clock,
             InetSocketAddress agent,
-            WatchPlan.Listing known,
-            boolean servers,
+            WatchPlan.Listing knownList,
+            boolean serversExpected,
             Backoff backoff) {
-        this.known = known;
+        this.knownList = knownList;
         this.client = client;
         this.clock = clock;
         this.agent = agent;
-        watcher = new Watcher(turns, servers, backoff);
+        watcher = new Watcher(scheduler, serversExpected, backoff);
     }
 
     @Override
@@ -217,8 +223,8 @@
     }
 
     /** Switches to another address of the discovery service, after a change of the configuration. */
-    public void move(InetSocketAddress to) {
-        watcher.tell(new Move(to, null));
+    public void moveTo(InetSocketAddress address) {
+        watcher.tell(new Move(address, null));
     }
 
     @Override
--- a/src/main/java/copperbeam/protocol/etcd/EtcdMembership.java
+++ b/src/main/java/copperbeam/protocol/etcd/EtcdMembership.java
@@ -17,146 +17,149 @@
  */
 public final class EtcdMembership implements MembershipSource {
     private static final Logger LOG = Logger.getLogger(EtcdMembership.class.getName());
-    private static final HttpClient.Patience PATIENCE = new HttpClient.Patience(WatchPlan.CONNECT, WatchPlan.HOLD);
-    private static final int MOST = 1 << 20; // of a range response, in base64; etcd itself rejects larger requests
-    private static final Duration AGAIN = Duration.ofMillis(200);
+    private static final HttpClient.Timeouts TIMEOUTS =
+            new HttpClient.Timeouts(WatchPlan.CONNECT_TIMEOUT, WatchPlan.MAX_POLL_WAIT);
+    private static final int MAX_BODY_BYTES =
+            1 << 20; // of a range response, in base64; etcd itself rejects larger requests
+    private static final Duration RETRY_DELAY = Duration.ofMillis(200);
 
-    private sealed interface Message permits Start, Listed, Data, Ended, Again, Stop {}
+    private sealed interface Message permits Start, RangeAnswered, WatchData, CallEnded, Retry, Stop {}
 
     private record Start(Sink sink) implements Message {}
 
-    private record Listed(int call, HttpClient.Answer answer) implements Message {}
+    private record RangeAnswered(int callId, HttpClient.FullResponse response) implements Message {}
 
-    private record Data(int call, byte[] bytes) implements Message {}
+    private record WatchData(int callId, byte[] bytes) implements Message {}
 
-    private record Ended(int call) implements Message {}
+    private record CallEnded(int callId) implements Message {}
 
-    private record Again() implements Message {}
+    private record Retry() implements Message {}
 
     private record Stop() implements Message {}
 
     private final class Watcher extends Actor<Message> {
         private Sink sink;
-        private boolean listed;
+        private boolean hasList;
         private boolean stopped;
         private long revision;
-        private int call;
-        private EtcdWire.Lines lines;
+        private int currentCallId;
+        private EtcdWire.LineSplitter lineSplitter;
         private Runnable cancel = () -> {};
 
-        Watcher(ScheduledExecutorService turns) {
-            super(turns);
+        Watcher(ScheduledExecutorService scheduler) {
+            super(scheduler);
         }
 
         @Override
-        protected void receive(Message m) {
-            if (m instanceof Stop) {
+        protected void receive(Message message) {
+            if (message instanceof Stop) {
                 stopped = true;
                 cancel.run();
             } else if (stopped) {
                 return;
-            } else if (m instanceof Start e) {
+            } else if (message instanceof Start e) {
                 sink = e.sink();
-                ask();
-            } else if (m instanceof Again) {
-                ask();
-            } else if (m instanceof Listed e && e.call() == call) {
-                guarded(() -> listed(e));
-            } else if (m instanceof Data e && e.call() == call) {
-                guarded(() -> lines.add(e.bytes()).forEach(this::line));
-            } else if (m instanceof Ended e && e.call() == call) {
-                later();
+                startCall();
+            } else if (message instanceof Retry) {
+                startCall();
+            } else if (message instanceof RangeAnswered e && e.callId() == currentCallId) {
+                retryIfMalformed(() -> onRangeAnswered(e));
+            } else if (message instanceof WatchData e && e.callId() == currentCallId) {
+                retryIfMalformed(() -> lineSplitter.add(e.bytes()).forEach(this::onWatchLine));
+            } else if (message instanceof CallEnded e && e.callId() == currentCallId) {
+                retryLater();
             }
         }
 
         /** Runs the step. If it meets malformed data, ends the call and retries with the full list; the known list stays. */
-        private void guarded(Runnable step) {
+        private void retryIfMalformed(Runnable step) {
             try {
                 step.run();
             } catch (IllegalArgumentException e) {
                 LOG.warning("etcd: " + e.getMessage());
-                listed = false;
-                later();
+                hasList = false;
+                retryLater();
             }
         }
 
-        private void later() {
-            call++;
+        private void retryLater() {
+            currentCallId++;
             cancel.run();
-            tellLater(AGAIN, new Again());
+            tellLater(RETRY_DELAY, new Retry());
         }
 
-        private void ask() {
-            int mine = ++call;
+        private void startCall() {
+            int callId = ++currentCallId;
             // Each call is replaced after this time, whatever became of it: one that hangs or trickles can't be told
             // from one that has nothing to report. A watch resumes from its revision.
-            tellLater(WatchPlan.HOLD, new Ended(mine));
-            if (!listed) {
-                cancel = client.whole(
+            tellLater(WatchPlan.MAX_POLL_WAIT, new CallEnded(callId));
+            if (!hasList) {
+                cancel = client.fetch(
                         endpoint,
                         "POST",
                         "/v3/kv/range",
-                        EtcdWire.range(prefix),
-                        PATIENCE,
-                        MOST,
-                        answer -> tell(new Listed(mine, answer)));
+                        EtcdWire.rangeRequest(prefix),
+                        TIMEOUTS,
+                        MAX_BODY_BYTES,
+                        response -> tell(new RangeAnswered(callId, response)));
                 return;
             }
-            lines = new EtcdWire.Lines();
+            lineSplitter = new EtcdWire.LineSplitter();
             cancel = client.send(
                     endpoint,
                     "POST",
                     "/v3/watch",
-                    EtcdWire.watch(prefix, revision + 1),
-                    PATIENCE,
+                    EtcdWire.watchRequest(prefix, revision + 1),
+                    TIMEOUTS,
                     new HttpClient.Response() {
                         @Override
                         public void head(int status) {
                             if (status != 200) {
-                                tell(new Ended(mine));
+                                tell(new CallEnded(callId));
                             }
                         }
 
                         @Override
                         public void data(byte[] bytes) {
-                            tell(new Data(mine, bytes));
+                            tell(new WatchData(callId, bytes));
                         }
 
                         @Override
                         public void end() {
-                            tell(new Ended(mine));
+                            tell(new CallEnded(callId));
                         }
 
                         @Override
-                        public void failed(String why) {
-                            tell(new Ended(mine));
+                        public void failed(String reason) {
+                            tell(new CallEnded(callId));
                         }
                     });
         }
 
-        private void listed(Listed e) {
-            if (e.answer().status() != 200) {
+        private void onRangeAnswered(RangeAnswered message) {
+            if (message.response().status() != 200) {
                 throw new IllegalArgumentException(
-                        e.answer().status() == 0
-                                ? e.answer().fault()
-                                : "status " + e.answer().status());
+                        message.response().status() == 0
+                                ? message.response().failure()
+                                : "status " + message.response().status());
             }
-            EtcdWire.Listing listing = EtcdWire.listing(prefix, e.answer().body());
-            listed = true;
+            EtcdWire.Listing listing =
+                    EtcdWire.parseListing(prefix, message.response().body());
+            hasList = true;
             revision = listing.revision();
             sink.changed(new Change(ListKind.FULL, listing.entries()));
-            ask();
+            startCall();
         }
 
-        private void line(byte[] line) {
+        private void onWatchLine(byte[] line) {
             if (line.length == 0) {
                 return;
             }
-            EtcdWire.Change change = EtcdWire.change(prefix, line);
-            if (change.over()) {
+            EtcdWire.Change change = EtcdWire.parseWatchLine(prefix, line);
+            if (change.ended()) {
                 // compacted: the changes in between are no longer available
-                listed = false;
-                later();
+                hasList = false;
+                retryLater();
                 return;
             }
             List<Entry> entries = change.entries();
@@ -174,11 +177,11 @@
 
     /** {@code prefix}: of the keys of all servers; ends in a slash. */
     public EtcdMembership(
-            ScheduledExecutorService turns, HttpClient client, InetSocketAddress endpoint, String prefix) {
+            ScheduledExecutorService scheduler, HttpClient client, InetSocketAddress endpoint, String prefix) {
         this.client = client;
         this.endpoint = endpoint;
         this.prefix = prefix;
-        watcher = new Watcher(turns);
+        watcher = new Watcher(scheduler);
     }
 
     @Override
--- a/src/main/java/copperbeam/protocol/openai/ApiError.java
+++ b/src/main/java/copperbeam/protocol/openai/ApiError.java
@@ -22,7 +22,7 @@
         this.code = code;
     }
 
-    static ApiError invalid(String param, String message) {
+    static ApiError invalidRequest(String param, String message) {
         return new ApiError(400, "invalid_request_error", param, null, message);
     }
 
@@ -30,7 +30,7 @@
         return new ApiError(404, "invalid_request_error", param, code, message);
     }
 
-    static ApiError method(String message) {
+    static ApiError methodNotAllowed(String message) {
         return new ApiError(405, "invalid_request_error", null, null, message);
     }
 
@@ -45,7 +45,7 @@
                         "Too much is asked for just now; try again later.");
     }
 
-    static ApiError server(int status, String code, String message) {
+    static ApiError serverError(int status, String code, String message) {
         return new ApiError(status, "server_error", null, code, message);
     }
 
--- a/src/main/java/copperbeam/protocol/openai/ChatAnswer.java
+++ b/src/main/java/copperbeam/protocol/openai/ChatAnswer.java
@@ -8,15 +8,16 @@
 import com.google.gson.JsonParser;
 import copperbeam.protocol.HttpReply;
 import copperbeam.protocol.Json;
-import copperbeam.routing.Answer;
+import copperbeam.routing.ResponseSink;
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.Map;
 
 /** Translates a server's events into a response of the chat API: a stream of chunks, or one completion. */
-final class ChatAnswer implements Answer {
-    private static final int MOST_CHARS = 1 << 20; // of a completion that is collected for a client that doesn't stream
+final class ChatAnswer implements ResponseSink {
+    private static final int MAX_CONTENT_CHARS =
+            1 << 20; // of a completion that is collected for a client that doesn't stream
 
     private final HttpReply reply;
     private final ChatRequest request;
@@ -25,8 +26,8 @@
     private final StringBuilder content = new StringBuilder();
     private String finishReason;
     private JsonElement usage;
-    private boolean roleTold;
-    private boolean done;
+    private boolean roleSent;
+    private boolean doneReceived;
 
     ChatAnswer(HttpReply reply, ChatRequest request, String id, Instant arrived) {
         this.reply = reply;
@@ -37,76 +38,76 @@
 
     @Override
     public boolean gone() {
-        return reply.gone();
+        return reply.isClientGone();
     }
 
     @Override
     public void begin() {
         if (request.stream()) {
-            reply.begin("text/event-stream", Map.of("Cache-Control", "no-cache"));
+            reply.beginStream("text/event-stream", Map.of("Cache-Control", "no-cache"));
         }
     }
 
     /** Returns false for an event that doesn't belong to a chat stream, so that the client doesn't get what it can't parse. */
     @Override
-    public boolean event(byte[] raw, Runnable drained) {
-        String data = SseData.of(raw);
+    public boolean event(byte[] eventBytes, Runnable onDrained) {
+        String data = SseData.dataOf(eventBytes);
         if (data == null) {
-            drained.run();
+            onDrained.run();
             return true;
         }
-        if (data.equals("[DONE]") && request.stream() && !done) {
-            done = true;
-            write(data, drained); // not only in end(): the server may end its stream much later
+        if (data.equals("[DONE]") && request.stream() && !doneReceived) {
+            doneReceived = true;
+            writeEvent(data, onDrained); // not only in end(): the server may end its stream much later
             return true;
         }
         if (data.equals("[DONE]")) {
-            done = true;
-            drained.run();
+            doneReceived = true;
+            onDrained.run();
             return true;
         }
-        JsonObject chunk = parse(data);
-        if (done || chunk == null) {
-            drained.run();
+        JsonObject chunk = parseChunk(data);
+        if (doneReceived || chunk == null) {
+            onDrained.run();
             return false;
         }
-        return request.stream() ? pass(chunk, drained) : gather(chunk, drained);
+        return request.stream() ? forward(chunk, onDrained) : collect(chunk, onDrained);
     }
 
-    private static JsonObject parse(String data) {
+    private static JsonObject parseChunk(String data) {
         if (!Json.isObject(data.getBytes(StandardCharsets.UTF_8))) {
             return null;
         }
         try {
             JsonObject chunk = JsonParser.parseString(data).getAsJsonObject();
-            return chunk.get("choices") instanceof JsonArray && !Json.nestsTooDeep(chunk) ? chunk : null;
+            return chunk.get("choices") instanceof JsonArray && !Json.isNestedTooDeep(chunk) ? chunk : null;
         } catch (JsonParseException | IllegalStateException e) {
             return null;
         }
     }
 
-    private boolean pass(JsonObject chunk, Runnable drained) {
+    private boolean forward(JsonObject chunk, Runnable onDrained) {
         if (chunk.getAsJsonArray("choices").isEmpty() && !request.includeUsage()) {
-            drained.run();
+            onDrained.run();
             return true;
         }
         JsonObject delta = delta(chunk);
-        if (delta != null && !roleTold) {
-            roleTold = true;
+        if (delta != null && !roleSent) {
+            roleSent = true;
             delta.addProperty("role", "assistant");
         }
-        JsonObject out = head("chat.completion.chunk");
-        chunk.entrySet().forEach(e -> out.add(e.getKey(), e.getValue()));
-        write(Json.GSON.toJson(out), drained);
+        JsonObject outgoingChunk = newResponseObject("chat.completion.chunk");
+        chunk.entrySet().forEach(e -> outgoingChunk.add(e.getKey(), e.getValue()));
+        writeEvent(Json.GSON.toJson(outgoingChunk), onDrained);
         return true;
     }
 
-    private void write(String data, Runnable drained) {
-        reply.write(("data: " + data + "\n\n").getBytes(StandardCharsets.UTF_8), drained);
+    private void writeEvent(String data, Runnable onDrained) {
+        reply.write(("data: " + data + "\n\n").getBytes(StandardCharsets.UTF_8), onDrained);
     }
 
-    private boolean gather(JsonObject chunk, Runnable drained) {
-        drained.run();
+    private boolean collect(JsonObject chunk, Runnable onDrained) {
+        onDrained.run();
         JsonObject delta = delta(chunk);
         if (delta != null) {
             if (delta.get("content") != null && delta.get("content").isJsonPrimitive()) {
@@ -117,31 +118,31 @@
             finishReason = reason != null && reason.isJsonPrimitive() ? reason.getAsString() : finishReason;
         }
         usage = chunk.has("usage") ? chunk.get("usage") : usage;
-        return content.length() <= MOST_CHARS;
+        return content.length() <= MAX_CONTENT_CHARS;
     }
 
     private static JsonObject delta(JsonObject chunk) {
         JsonArray choices = chunk.getAsJsonArray("choices");
-        boolean has = !choices.isEmpty() && choices.get(0) instanceof JsonObject;
-        return has && choices.get(0).getAsJsonObject().get("delta") instanceof JsonObject delta ? delta : null;
+        boolean hasChoice = !choices.isEmpty() && choices.get(0) instanceof JsonObject;
+        return hasChoice && choices.get(0).getAsJsonObject().get("delta") instanceof JsonObject delta ? delta : null;
     }
 
-    private JsonObject head(String object) {
-        JsonObject out = new JsonObject();
-        out.addProperty("id", id);
-        out.addProperty("object", object);
-        out.addProperty("created", created);
-        out.addProperty("model", request.model());
-        return out;
+    private JsonObject newResponseObject(String object) {
+        JsonObject responseObject = new JsonObject();
+        responseObject.addProperty("id", id);
+        responseObject.addProperty("object", object);
+        responseObject.addProperty("created", created);
+        responseObject.addProperty("model", request.model());
+        return responseObject;
     }
 
     @Override
     public void end() {
-        if (!done) {
+        if (!doneReceived) {
             // the server ended its HTTP stream properly, but without "[DONE]"
             broken();
         } else if (request.stream()) {
-            reply.end();
+            reply.endStream();
         } else {
             JsonObject message = new JsonObject();
             message.addProperty("role", "assistant");
@@ -153,25 +154,29 @@
             choice.addProperty("finish_reason", finishReason == null ? "stop" : finishReason);
             JsonArray choices = new JsonArray();
             choices.add(choice);
-            JsonObject out = head("chat.completion");
-            out.add("choices", choices);
+            JsonObject completion = newResponseObject("chat.completion");
+            completion.add("choices", choices);
             if (usage != null) {
-                out.add("usage", usage);
+                completion.add("usage", usage);
             }
-            reply.whole(200, "application/json", Map.of(), Json.GSON.toJson(out).getBytes(StandardCharsets.UTF_8));
+            reply.respond(
+                    200,
+                    "application/json",
+                    Map.of(),
+                    Json.GSON.toJson(completion).getBytes(StandardCharsets.UTF_8));
         }
     }
 
     @Override
     public void broken() {
-        ApiError error = ApiError.server(502, "stream_broken", "The answer broke off before it was whole.");
+        ApiError error = ApiError.serverError(502, "stream_broken", "The answer broke off before it was whole.");
         if (request.stream()) {
-            if (!done) {
-                write(error.json(), null); // clients read nothing after "[DONE]"
+            if (!doneReceived) {
+                writeEvent(error.json(), null); // clients read nothing after "[DONE]"
             }
             reply.abort();
         } else {
-            reply.whole(error.status, "application/json", Map.of(), error.body());
+            reply.respond(error.status, "application/json", Map.of(), error.body());
         }
     }
 
@@ -180,14 +185,14 @@
         ApiError error = ApiError.refused(tried);
         // clients of this API expect whole seconds
         long seconds = Math.max(1, (retryAfter.toMillis() + 999) / 1000);
-        reply.whole(error.status, "application/json", Map.of("Retry-After", Long.toString(seconds)), error.body());
+        reply.respond(error.status, "application/json", Map.of("Retry-After", Long.toString(seconds)), error.body());
     }
 
     @Override
-    public void fail(Failure why) {
-        ApiError error = why == Failure.TOO_LATE
-                ? ApiError.server(504, "timeout", "No answer came in time.")
-                : ApiError.server(502, "upstream_failed", "The request failed; it may have run.");
-        reply.whole(error.status, "application/json", Map.of(), error.body());
+    public void fail(Failure reason) {
+        ApiError error = reason == Failure.TOO_LATE
+                ? ApiError.serverError(504, "timeout", "No answer came in time.")
+                : ApiError.serverError(502, "upstream_failed", "The request failed; it may have run.");
+        reply.respond(error.status, "application/json", Map.of(), error.body());
     }
 }
--- a/src/main/java/copperbeam/protocol/openai/ChatRequest.java
+++ b/src/main/java/copperbeam/protocol/openai/ChatRequest.java
@@ -31,86 +31,89 @@
         int promptTokens,
         int prefixTokens,
         JsonObject json) {
-    private static final int CHARS_A_TOKEN = 4; // for the estimate of tokens
-    private static final int MOST_TOKENS = 1_000_000; // the largest valid count in a request, such as max_tokens
+    private static final int CHARS_PER_TOKEN = 4; // for the estimate of tokens
+    private static final int MAX_COUNT = 1_000_000; // the largest valid count in a request, such as max_tokens
 
     private record Message(String role, String text) {
-        int tokens() {
-            return (text.length() + CHARS_A_TOKEN - 1) / CHARS_A_TOKEN;
+        int estimatedTokens() {
+            return (text.length() + CHARS_PER_TOKEN - 1) / CHARS_PER_TOKEN;
         }
     }
 
     /** Parses and validates the body of a request. */
     static ChatRequest parse(byte[] body) throws ApiError {
         if (!Json.isObject(body)) {
-            throw ApiError.invalid(null, "The body is not a JSON object.");
+            throw ApiError.invalidRequest(null, "The body is not a JSON object.");
         }
         JsonObject json;
         try {
             json = JsonParser.parseString(new String(body, StandardCharsets.UTF_8))
                     .getAsJsonObject();
         } catch (JsonParseException | IllegalStateException e) {
-            throw ApiError.invalid(null, "The body is not a JSON object.");
+            throw ApiError.invalidRequest(null, "The body is not a JSON object.");
         }
-        if (Json.nestsTooDeep(json)) {
-            throw ApiError.invalid(null, "The body nests too deep.");
+        if (Json.isNestedTooDeep(json)) {
+            throw ApiError.invalidRequest(null, "The body nests too deep.");
         }
-        String model = text(json, "model");
+        String model = stringValue(json, "model");
         if (model == null) {
-            throw ApiError.invalid("model", "You must name a model.");
+            throw ApiError.invalidRequest("model", "You must name a model.");
         }
-        List<Message> messages = messages(json.get("messages"));
-        if (count(json, "n", 1) != 1) {
-            throw ApiError.invalid("n", "Only one choice is made for a request.");
+        List<Message> messages = parseMessages(json.get("messages"));
+        if (positiveCount(json, "n", 1) != 1) {
+            throw ApiError.invalidRequest("n", "Only one choice is made for a request.");
         }
-        int most = count(json, "max_completion_tokens", count(json, "max_tokens", 0));
+        int maxAnswerTokens = positiveCount(json, "max_completion_tokens", positiveCount(json, "max_tokens", 0));
         Message first = messages.get(0);
-        boolean opening = messages.size() > 1 && (first.role.equals("system") || first.role.equals("developer"));
+        boolean hasSystemMessage =
+                messages.size() > 1 && (first.role.equals("system") || first.role.equals("developer"));
         JsonElement options = json.get("stream_options");
-        boolean usage = options != null && options.isJsonObject() && flag(options.getAsJsonObject(), "include_usage");
+        boolean wantsUsage =
+                options != null && options.isJsonObject() && booleanValue(options.getAsJsonObject(), "include_usage");
         return new ChatRequest(
                 model,
-                flag(json, "stream"),
-                usage,
-                most,
-                session(text(json, "user"), messages),
-                opening ? hash(first.role, first.text) : null,
-                messages.stream().mapToInt(Message::tokens).sum(),
-                opening ? first.tokens() : 0,
+                booleanValue(json, "stream"),
+                wantsUsage,
+                maxAnswerTokens,
+                session(stringValue(json, "user"), messages),
+                hasSystemMessage ? hash(first.role, first.text) : null,
+                messages.stream().mapToInt(Message::estimatedTokens).sum(),
+                hasSystemMessage ? first.estimatedTokens() : 0,
                 json);
     }
 
     /** Returns the body that servers receive: the client's body, but always with streaming enabled. */
-    byte[] forServers(byte[] asCame) {
+    byte[] bodyForServers(byte[] originalBody) {
         if (stream) {
-            return asCame;
+            return originalBody;
         }
         JsonObject copy = json.deepCopy();
         copy.addProperty("stream", true);
         return Json.GSON.toJson(copy).getBytes(StandardCharsets.UTF_8);
     }
 
-    private static List<Message> messages(JsonElement value) throws ApiError {
+    private static List<Message> parseMessages(JsonElement value) throws ApiError {
         if (value == null || !value.isJsonArray() || value.getAsJsonArray().isEmpty()) {
-            throw ApiError.invalid("messages", "'messages' must be a list that is not empty.");
+            throw ApiError.invalidRequest("messages", "'messages' must be a list that is not empty.");
         }
         List<Message> messages = new ArrayList<>();
         for (JsonElement element : value.getAsJsonArray()) {
-            String at = "messages[" + messages.size() + "]";
+            String path = "messages[" + messages.size() + "]";
             if (!element.isJsonObject()) {
-                throw ApiError.invalid(at, "A message must be an object.");
+                throw ApiError.invalidRequest(path, "A message must be an object.");
             }
-            String role = text(element.getAsJsonObject(), "role");
+            String role = stringValue(element.getAsJsonObject(), "role");
             if (role == null) {
-                throw ApiError.invalid(at + ".role", "A message must have a role.");
+                throw ApiError.invalidRequest(path + ".role", "A message must have a role.");
             }
-            messages.add(new Message(role, content(element.getAsJsonObject().get("content"), at + ".content")));
+            messages.add(
+                    new Message(role, parseContent(element.getAsJsonObject().get("content"), path + ".content")));
         }
         return messages;
     }
 
     /** Returns the text of a message, which is a string or a list of text parts. */
-    private static String content(JsonElement content, String at) throws ApiError {
+    private static String parseContent(JsonElement content, String path) throws ApiError {
         if (content == null || content.isJsonNull()) {
             return "";
         }
@@ -118,56 +121,56 @@
             return content.getAsString();
         }
         if (!content.isJsonArray()) {
-            throw ApiError.invalid(at, "Content must be a text or a list of parts.");
+            throw ApiError.invalidRequest(path, "Content must be a text or a list of parts.");
         }
-        StringBuilder all = new StringBuilder();
+        StringBuilder joined = new StringBuilder();
         JsonArray parts = content.getAsJsonArray();
         for (JsonElement part : parts) {
-            String text = part.isJsonObject() ? text(part.getAsJsonObject(), "text") : null;
+            String text = part.isJsonObject() ? stringValue(part.getAsJsonObject(), "text") : null;
             if (text == null) {
-                throw ApiError.invalid(at, "Only parts with a text are understood.");
+                throw ApiError.invalidRequest(path, "Only parts with a text are understood.");
             }
-            all.append(text);
+            joined.append(text);
         }
-        return all.toString();
+        return joined.toString();
     }
 
-    private static String text(JsonObject in, String key) throws ApiError {
-        JsonElement value = in.get(key);
+    private static String stringValue(JsonObject object, String key) throws ApiError {
+        JsonElement value = object.get(key);
         if (value == null || value.isJsonNull()) {
             return null;
         }
         if (!value.isJsonPrimitive() || !value.getAsJsonPrimitive().isString()) {
-            throw ApiError.invalid(key, "'" + key + "' must be a text.");
+            throw ApiError.invalidRequest(key, "'" + key + "' must be a text.");
         }
         return value.getAsString();
     }
 
-    private static boolean flag(JsonObject in, String key) throws ApiError {
-        JsonElement value = in.get(key);
+    private static boolean booleanValue(JsonObject object, String key) throws ApiError {
+        JsonElement value = object.get(key);
         if (value == null || value.isJsonNull()) {
             return false;
         }
         if (!value.isJsonPrimitive() || !value.getAsJsonPrimitive().isBoolean()) {
-            throw ApiError.invalid(key, "'" + key + "' must be true or false.");
+            throw ApiError.invalidRequest(key, "'" + key + "' must be true or false.");
         }
         return value.getAsBoolean();
     }
 
-    private static int count(JsonObject in, String key, int absent) throws ApiError {
-        JsonElement value = in.get(key);
+    private static int positiveCount(JsonObject object, String key, int defaultValue) throws ApiError {
+        JsonElement value = object.get(key);
         if (value == null || value.isJsonNull()) {
-            return absent;
+            return defaultValue;
         }
         try {
             double number = value.getAsDouble();
-            if (number >= 1 && number <= MOST_TOKENS && number == Math.rint(number)) {
+            if (number >= 1 && number <= MAX_COUNT && number == Math.rint(number)) {
                 return (int) number;
             }
         } catch (UnsupportedOperationException | NumberFormatException | IllegalStateException e) {
             // rejected below like a number out of range
         }
-        throw ApiError.invalid(key, "'" + key + "' must be a whole number from 1.");
+        throw ApiError.invalidRequest(key, "'" + key + "' must be a whole number from 1.");
     }
 
     /**
--- a/src/main/java/copperbeam/protocol/openai/OpenAiFront.java
+++ b/src/main/java/copperbeam/protocol/openai/OpenAiFront.java
@@ -7,9 +7,9 @@
 import copperbeam.protocol.HttpReply;
 import copperbeam.protocol.Json;
 import copperbeam.protocol.platform.PlatformFront;
-import copperbeam.routing.Answer;
-import copperbeam.routing.Ask;
 import copperbeam.routing.Intake;
+import copperbeam.routing.RequestSpec;
+import copperbeam.routing.ResponseSink;
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
 import java.time.Instant;
@@ -24,62 +24,62 @@
     private final ChatModels models;
     private final Intake intake;
     private final BooleanSupplier healthy;
-    private final Instant started;
+    private final Instant startedAt;
 
-    public OpenAiFront(ChatModels models, Intake intake, BooleanSupplier healthy, Instant started) {
+    public OpenAiFront(ChatModels models, Intake intake, BooleanSupplier healthy, Instant startedAt) {
         this.models = models;
         this.intake = intake;
         this.healthy = healthy;
-        this.started = started;
+        this.startedAt = startedAt;
     }
 
     @Override
     public Runnable accept(HttpCall call, HttpReply reply) {
         try {
             String path = call.path();
-            if (call.asksForHealth()) {
-                return PlatformFront.health(reply, healthy.getAsBoolean());
+            if (call.isHealthCheck()) {
+                return PlatformFront.answerHealthCheck(reply, healthy.getAsBoolean());
             } else if (path.equals("/v1/models") || path.startsWith("/v1/models/")) {
-                want(call, "GET");
-                reply.whole(200, "application/json", Map.of(), models(path.substring("/v1/models".length())));
+                requireMethod(call, "GET");
+                reply.respond(200, "application/json", Map.of(), modelsJson(path.substring("/v1/models".length())));
                 return () -> {};
             } else if (path.equals("/v1/chat/completions")) {
-                want(call, "POST");
+                requireMethod(call, "POST");
                 return chat(call, reply);
             }
             throw ApiError.notFound(null, null, "There is nothing at " + path + ".");
         } catch (ApiError e) {
-            reply.whole(e.status, "application/json", Map.of(), e.body());
+            reply.respond(e.status, "application/json", Map.of(), e.body());
             return () -> {};
         }
     }
 
-    private static void want(HttpCall call, String method) throws ApiError {
+    private static void requireMethod(HttpCall call, String method) throws ApiError {
         if (!call.method().equals(method)) {
-            throw ApiError.method("Only " + method + " is taken here.");
+            throw ApiError.methodNotAllowed("Only " + method + " is taken here.");
         }
     }
 
-    private byte[] models(String rest) throws ApiError {
+    private byte[] modelsJson(String pathRest) throws ApiError {
         JsonArray list = new JsonArray();
         for (String name : new TreeMap<>(models.models()).keySet()) {
             JsonObject model = new JsonObject();
             model.addProperty("id", name);
             model.addProperty("object", "model");
-            model.addProperty("created", started.getEpochSecond());
+            model.addProperty("created", startedAt.getEpochSecond());
             model.addProperty("owned_by", "copperbeam");
-            if (rest.equals("/" + name)) {
+            if (pathRest.equals("/" + name)) {
                 return Json.GSON.toJson(model).getBytes(StandardCharsets.UTF_8);
             }
             list.add(model);
         }
-        if (!rest.isEmpty()) {
+        if (!pathRest.isEmpty()) {
             throw ApiError.notFound("model", "model_not_found", "The model does not exist.");
         }
-        JsonObject out = new JsonObject();
-        out.addProperty("object", "list");
-        out.add("data", list);
-        return Json.GSON.toJson(out).getBytes(StandardCharsets.UTF_8);
+        JsonObject listJson = new JsonObject();
+        listJson.addProperty("object", "list");
+        listJson.add("data", list);
+        return Json.GSON.toJson(listJson).getBytes(StandardCharsets.UTF_8);
     }
 
     private Runnable chat(HttpCall call, HttpReply reply) throws ApiError {
@@ -90,8 +90,8 @@
         }
         String id = HexFormat.of().toHexDigits(ThreadLocalRandom.current().nextLong());
         int maxTokens = request.maxTokens() > 0 ? request.maxTokens() : model.maxTokens();
-        Duration margin = PlatformFront.MARGIN;
-        Ask ask = new Ask(
+        Duration margin = PlatformFront.RESPONSE_MARGIN;
+        RequestSpec spec = new RequestSpec(
                 id,
                 model.requestClass(),
                 request.session(),
@@ -99,16 +99,16 @@
                 request.promptTokens(),
                 request.prefixTokens(),
                 maxTokens,
-                call.arrived().plus(model.timeout()).minus(margin),
+                call.arrivedAt().plus(model.timeout()).minus(margin),
                 false,
-                passed(call, request, model, maxTokens));
-        Answer answer = new ChatAnswer(reply, request, id, call.arrived());
-        intake.arrive(ask, answer);
-        return () -> intake.left(answer);
+                toServerCall(call, request, model, maxTokens));
+        ResponseSink response = new ChatAnswer(reply, request, id, call.arrivedAt());
+        intake.submit(spec, response);
+        return () -> intake.clientGone(response);
     }
 
     /** Translates the request into the platform's protocol, which servers use. */
-    private static HttpCall passed(HttpCall call, ChatRequest request, ChatModels.Model model, int maxTokens) {
+    private static HttpCall toServerCall(HttpCall call, ChatRequest request, ChatModels.Model model, int maxTokens) {
         String attrs = (request.prefix() == null ? "" : "prefix=" + request.prefix() + ",") + "prompt_len="
                 + request.promptTokens() + ",prefix_len=" + request.prefixTokens() + ",max_out=" + maxTokens;
         return new HttpCall(
@@ -123,7 +123,7 @@
                         attrs,
                         "content-type",
                         "application/json"),
-                request.forServers(call.body()),
-                call.arrived());
+                request.bodyForServers(call.body()),
+                call.arrivedAt());
     }
 }
--- a/src/main/java/copperbeam/protocol/openai/SseData.java
+++ b/src/main/java/copperbeam/protocol/openai/SseData.java
@@ -7,9 +7,9 @@
     private SseData() {}
 
     /** Returns the data lines of an event joined by line feeds, or null if it has none, for example in a comment. */
-    static String of(byte[] raw) {
+    static String dataOf(byte[] eventBytes) {
         StringBuilder data = null;
-        for (String line : new String(raw, StandardCharsets.UTF_8).split("\r\n|\n|\r")) {
+        for (String line : new String(eventBytes, StandardCharsets.UTF_8).split("\r\n|\n|\r")) {
             if (line.equals("data") || line.startsWith("data:")) {
                 String value = line.length() > 5 ? line.substring(5) : "";
                 value = value.startsWith(" ") ? value.substring(1) : value;
--- a/src/main/java/copperbeam/protocol/platform/PlatformHeaders.java
+++ b/src/main/java/copperbeam/protocol/platform/PlatformHeaders.java
@@ -9,7 +9,7 @@
 /** Parses and formats the values of the platform's own headers. */
 public final class PlatformHeaders {
     /** Longest valid X-Timeout; no client waits longer than a day. */
-    public static final Duration LONGEST_TIMEOUT = Duration.ofDays(1);
+    public static final Duration MAX_TIMEOUT = Duration.ofDays(1);
 
     private PlatformHeaders() {}
 
@@ -19,10 +19,12 @@
     /** Parses X-Timeout: a whole number followed by {@code m} for milliseconds or {@code u} for microseconds. */
     public static Duration timeout(String value) throws BadRequest {
         String text = value == null ? "" : value.strip();
-        long unit = text.endsWith("m") ? 1000 : text.endsWith("u") ? 1 : 0;
+        long microsPerUnit = text.endsWith("m") ? 1000 : text.endsWith("u") ? 1 : 0;
         try {
-            long micros = unit == 0 ? 0 : Math.multiplyExact(count(text.substring(0, text.length() - 1)), unit);
-            if (micros > 0 && micros <= LONGEST_TIMEOUT.toSeconds() * 1_000_000) {
+            long micros = microsPerUnit == 0
+                    ? 0
+                    : Math.multiplyExact(parseCount(text.substring(0, text.length() - 1)), microsPerUnit);
+            if (micros > 0 && micros <= MAX_TIMEOUT.toSeconds() * 1_000_000) {
                 return Duration.ofNanos(micros * 1000);
             }
         } catch (NumberFormatException | ArithmeticException e) {
@@ -31,12 +33,12 @@
         throw new BadRequest(400, "X-Timeout is not a span");
     }
 
-    public static String timeout(Duration span) {
-        return Math.max(1, span.toMillis()) + "m";
+    public static String timeout(Duration duration) {
+        return Math.max(1, duration.toMillis()) + "m";
     }
 
     /** Parses X-Attrs: comma-separated {@code name=value} pairs; unknown names are ignored. */
-    public static Attrs attrs(String value) throws BadRequest {
+    public static Attrs parseAttrs(String value) throws BadRequest {
         Map<String, String> pairs = new HashMap<>();
         for (String pair : (value == null ? "" : value).split(",")) {
             int equals = pair.indexOf('=');
@@ -51,20 +53,20 @@
         String prefix = pairs.get("prefix");
         return new Attrs(
                 prefix == null || prefix.isEmpty() ? null : prefix,
-                tokens(pairs, "prompt_len"),
-                tokens(pairs, "prefix_len"),
-                tokens(pairs, "max_out"));
+                parseTokens(pairs, "prompt_len"),
+                parseTokens(pairs, "prefix_len"),
+                parseTokens(pairs, "max_out"));
     }
 
-    private static double tokens(Map<String, String> pairs, String name) throws BadRequest {
+    private static double parseTokens(Map<String, String> pairs, String name) throws BadRequest {
         try {
-            return count(pairs.getOrDefault(name, "0"));
+            return parseCount(pairs.getOrDefault(name, "0"));
         } catch (NumberFormatException e) {
             throw new BadRequest(400, "X-Attrs: " + name + " is not a count of tokens");
         }
     }
 
-    private static long count(String digits) {
+    private static long parseCount(String digits) {
         if (digits.isEmpty() || digits.length() > 15 || !digits.chars().allMatch(c -> c >= '0' && c <= '9')) {
             throw new NumberFormatException(digits);
         }
@@ -75,7 +77,7 @@
      * Parses a load report. Metrics may have the names that the settings use or those of the platform. Returns null if it
      * holds no known metric.
      */
-    public static Report report(String value) {
+    public static Report parseReport(String value) {
         Map<String, Double> metrics = new HashMap<>();
         for (String pair : (value == null ? "" : value).split(",")) {
             int equals = pair.indexOf('=');
@@ -90,21 +92,21 @@
             }
         }
         Report report = new Report(
-                figure(metrics, "util", "cpu"),
-                figure(metrics, "queue", "waiting"),
-                figure(metrics, "inflight", "active"),
-                figure(metrics, "x0", "x0"),
-                figure(metrics, "x1", "x1"));
+                finiteMetric(metrics, "util", "cpu"),
+                finiteMetric(metrics, "queue", "waiting"),
+                finiteMetric(metrics, "inflight", "active"),
+                finiteMetric(metrics, "x0", "x0"),
+                finiteMetric(metrics, "x1", "x1"));
         boolean empty = Double.isNaN(report.slotShare() + 0)
                 && Double.isNaN(report.waitingRequests())
-                && Double.isNaN(report.heldRequests())
+                && Double.isNaN(report.openRequests())
                 && Double.isNaN(report.memoryShare())
                 && Double.isNaN(report.waitingThousandTokens());
         return empty ? null : report;
     }
 
-    private static double figure(Map<String, Double> metrics, String name, String other) {
-        double value = metrics.getOrDefault(name, metrics.getOrDefault(other, Double.NaN));
+    private static double finiteMetric(Map<String, Double> metrics, String name, String platformName) {
+        double value = metrics.getOrDefault(name, metrics.getOrDefault(platformName, Double.NaN));
         return Double.isFinite(value) ? value : Double.NaN;
     }
 }
--- a/src/main/java/copperbeam/record/Explain.java
+++ b/src/main/java/copperbeam/record/Explain.java
@@ -24,84 +24,84 @@
      * Prints the events of one request, given the id that its client sent or the conductor's own number of it; returns
      * false if the recording has none.
      */
-    public boolean request(String id) {
-        List<Event> life = recording.requests().entrySet().stream()
-                .filter(e -> String.valueOf(e.getKey()).equals(id) || id.equals(id(e.getValue())))
+    public boolean printRequest(String id) {
+        List<Event> events = recording.requests().entrySet().stream()
+                .filter(e -> String.valueOf(e.getKey()).equals(id) || id.equals(clientId(e.getValue())))
                 .map(Map.Entry::getValue)
                 .findFirst()
                 .orElse(null);
-        if (life == null) {
+        if (events == null) {
             return false;
         }
-        Event arrived = Recording.first(life, What.ARRIVED);
-        long from = life.get(0).getAtMicros();
+        Event arrived = Recording.first(events, What.ARRIVED);
+        long startMicros = events.get(0).getAtMicros();
         out.printf(
                 Locale.ROOT,
                 "request %s, number %d, from %s%n",
                 arrived == null ? "(its arrival is lost)" : arrived.getText(),
-                life.get(0).getRequest(),
-                time(from));
-        for (Event e : life) {
+                events.get(0).getRequest(),
+                wallTime(startMicros));
+        for (Event e : events) {
             out.printf(
                     Locale.ROOT,
                     "%9.3f ms  %-10s %s%n",
-                    (e.getAtMicros() - from) / 1e3,
+                    (e.getAtMicros() - startMicros) / 1e3,
                     e.getWhat().name().toLowerCase(Locale.ROOT),
-                    more(e));
+                    details(e));
         }
         return true;
     }
 
     /** Prints counts of how requests ended, by class, reason and last attempt, and of how attempts ended. */
-    public void causes() {
+    public void printCauses() {
         out.printf(
                 Locale.ROOT,
                 "%s: %d events from %s, %d lost before them%n",
                 recording.header().getName(),
                 recording.events().size(),
-                time(0),
+                wallTime(0),
                 recording.header().getLost());
-        Map<String, long[]> ends = new TreeMap<>();
-        Map<String, long[]> attempts = new TreeMap<>();
-        recording.requests().values().forEach(life -> {
-            count(
-                    ends,
-                    end(life),
-                    life.get(life.size() - 1).getAtMicros() - life.get(0).getAtMicros());
-            attempts(life, attempts);
+        Map<String, long[]> endCounts = new TreeMap<>();
+        Map<String, long[]> attemptCounts = new TreeMap<>();
+        recording.requests().values().forEach(events -> {
+            addToRow(
+                    endCounts,
+                    endOf(events),
+                    events.get(events.size() - 1).getAtMicros() - events.get(0).getAtMicros());
+            countAttempts(events, attemptCounts);
         });
-        table("requests: class, end, reason, last attempt", ends);
-        table("attempts: role, connection, end", attempts);
+        printTable("requests: class, end, reason, last attempt", endCounts);
+        printTable("attempts: role, connection, end", attemptCounts);
     }
 
     /** Prints one line per event, including events that belong to no request. */
-    public void events() {
+    public void printEvents() {
         recording
                 .events()
                 .forEach(e -> out.printf(
                         Locale.ROOT,
                         "%s %6d %-10s %s%n",
-                        time(e.getAtMicros()),
+                        wallTime(e.getAtMicros()),
                         e.getRequest(),
                         e.getWhat().name().toLowerCase(Locale.ROOT),
-                        more(e)));
+                        details(e)));
     }
 
-    private static String end(List<Event> life) {
-        Event arrived = Recording.first(life, What.ARRIVED);
-        Event attempt = Recording.last(life, What.ENDED);
+    private static String endOf(List<Event> events) {
+        Event arrived = Recording.first(events, What.ARRIVED);
+        Event attemptEnd = Recording.last(events, What.ENDED);
         String requestClass = arrived == null
                 ? "?"
                 : Recording.word(arrived, 1) + (arrived.getText().endsWith(" rest") ? " (rest)" : "");
-        for (Event e : life) {
-            switch (e.getWhat()) {
+        for (Event event : events) {
+            switch (event.getWhat()) {
                 case REFUSED, FAILED, SERVED, BROKEN, LEFT -> {
                     return String.join(
                             ", ",
                             requestClass,
-                            lower(e),
-                            e.getText().isEmpty() ? "-" : e.getText(),
-                            attempt == null ? "none" : attempt.getText());
+                            eventName(event),
+                            event.getText().isEmpty() ? "-" : event.getText(),
+                            attemptEnd == null ? "none" : attemptEnd.getText());
                 }
                 default -> {}
             }
@@ -109,29 +109,30 @@
         return requestClass + ", open";
     }
 
-    private static void attempts(List<Event> life, Map<String, long[]> attempts) {
+    private static void countAttempts(List<Event> events, Map<String, long[]> counts) {
         String role = "?";
         String connection = "none";
-        for (Event e : life) {
-            switch (e.getWhat()) {
+        for (Event event : events) {
+            switch (event.getWhat()) {
                 case ATTEMPT -> {
-                    role = e.getText().startsWith("WRITER") ? "write" : "read";
+                    role = event.getText().startsWith("WRITER") ? "write" : "read";
                     connection = "none";
                 }
-                case CONNECTION -> connection = e.getText();
-                case ENDED -> count(attempts, role + ", " + connection + ", " + e.getText(), e.getSpanMicros());
+                case CONNECTION -> connection = event.getText();
+                case ENDED ->
+                    addToRow(counts, role + ", " + connection + ", " + event.getText(), event.getSpanMicros());
                 default -> {}
             }
         }
     }
 
-    private static void count(Map<String, long[]> table, String key, long micros) {
+    private static void addToRow(Map<String, long[]> table, String key, long micros) {
         long[] row = table.computeIfAbsent(key, k -> new long[2]);
         row[0]++;
         row[1] += micros;
     }
 
-    private void table(String title, Map<String, long[]> rows) {
+    private void printTable(String title, Map<String, long[]> rows) {
         out.printf("%n%8s %10s  %s%n", "count", "mean ms", title);
         rows.entrySet().stream()
                 .sorted(Comparator.comparing((Map.Entry<String, long[]> r) -> -r.getValue()[0]))
@@ -143,31 +144,31 @@
                         r.getKey()));
     }
 
-    private static String lower(Event e) {
-        return e.getWhat().name().toLowerCase(Locale.ROOT);
+    private static String eventName(Event event) {
+        return event.getWhat().name().toLowerCase(Locale.ROOT);
     }
 
-    private static String id(List<Event> life) {
-        Event arrived = Recording.first(life, What.ARRIVED);
+    private static String clientId(List<Event> events) {
+        Event arrived = Recording.first(events, What.ARRIVED);
         return arrived == null ? null : Recording.word(arrived, 0);
     }
 
-    private Instant time(long micros) {
-        long at = recording.header().getStartedMicros() + micros;
-        return Instant.ofEpochSecond(at / 1_000_000, at % 1_000_000 * 1000);
+    private Instant wallTime(long offsetMicros) {
+        long unixMicros = recording.header().getStartedMicros() + offsetMicros;
+        return Instant.ofEpochSecond(unixMicros / 1_000_000, unixMicros % 1_000_000 * 1000);
     }
 
-    private static String more(Event e) {
-        boolean ofAttempt = switch (e.getWhat()) {
+    private static String details(Event event) {
+        boolean concernsAttempt = switch (event.getWhat()) {
             case ATTEMPT, CONNECTION, WORD, FIRST, ENDED, CANCEL -> true;
             default -> false;
         };
-        return ((ofAttempt ? "attempt " + e.getAttempt() + " " : "")
-                        + (e.getServer().isEmpty() ? "" : e.getServer() + " ")
-                        + e.getText()
-                        + (e.getSpanMicros() == 0
+        return ((concernsAttempt ? "attempt " + event.getAttempt() + " " : "")
+                        + (event.getServer().isEmpty() ? "" : event.getServer() + " ")
+                        + event.getText()
+                        + (event.getSpanMicros() == 0
                                 ? ""
-                                : String.format(Locale.ROOT, " (%.3f ms)", e.getSpanMicros() / 1e3)))
+                                : String.format(Locale.ROOT, " (%.3f ms)", event.getSpanMicros() / 1e3)))
                 .strip();
     }
 }
--- a/src/main/java/copperbeam/record/Recording.java
+++ b/src/main/java/copperbeam/record/Recording.java
@@ -21,14 +21,14 @@
      * @throws IOException if it can't be read or is not a recording
      */
     public static Recording read(Path file) throws IOException {
-        try (InputStream in = new BufferedInputStream(Files.newInputStream(file))) {
-            Header header = Header.parseDelimitedFrom(in);
-            if (header == null || header.getFormat() != FileRecorder.FORMAT) {
-                throw new IOException(file + " is no recording of format " + FileRecorder.FORMAT);
+        try (InputStream input = new BufferedInputStream(Files.newInputStream(file))) {
+            Header header = Header.parseDelimitedFrom(input);
+            if (header == null || header.getFormat() != FileRecorder.FORMAT_VERSION) {
+                throw new IOException(file + " is no recording of format " + FileRecorder.FORMAT_VERSION);
             }
             List<Event> events = new ArrayList<>();
             try {
-                for (Event e = Event.parseDelimitedFrom(in); e != null; e = Event.parseDelimitedFrom(in)) {
+                for (Event e = Event.parseDelimitedFrom(input); e != null; e = Event.parseDelimitedFrom(input)) {
                     events.add(e);
                 }
             } catch (com.google.protobuf.InvalidProtocolBufferException e) {
@@ -40,29 +40,31 @@
 
     /** The events of each request in order, by the conductor's own number of the request. */
     Map<Long, List<Event>> requests() {
-        Map<Long, List<Event>> all = new LinkedHashMap<>();
-        for (Event e : events) {
-            if (e.getRequest() != 0) {
-                all.computeIfAbsent(e.getRequest(), r -> new ArrayList<>()).add(e);
+        Map<Long, List<Event>> byRequest = new LinkedHashMap<>();
+        for (Event event : events) {
+            if (event.getRequest() != 0) {
+                byRequest
+                        .computeIfAbsent(event.getRequest(), r -> new ArrayList<>())
+                        .add(event);
             }
         }
-        return all;
+        return byRequest;
     }
 
     /** The word at an index of an event's text, or an empty string. */
-    static String word(Event e, int at) {
-        String[] words = e.getText().split(" ");
-        return at < words.length ? words[at] : "";
+    static String word(Event event, int index) {
+        String[] words = event.getText().split(" ");
+        return index < words.length ? words[index] : "";
     }
 
-    static Event first(List<Event> life, What what) {
-        return life.stream().filter(e -> e.getWhat() == what).findFirst().orElse(null);
+    static Event first(List<Event> events, What type) {
+        return events.stream().filter(e -> e.getWhat() == type).findFirst().orElse(null);
     }
 
-    static Event last(List<Event> life, What what) {
+    static Event last(List<Event> events, What type) {
         Event found = null;
-        for (Event e : life) {
-            found = e.getWhat() == what ? e : found;
+        for (Event event : events) {
+            found = event.getWhat() == type ? event : found;
         }
         return found;
     }
--- a/src/main/java/copperbeam/record/Ring.java
+++ b/src/main/java/copperbeam/record/Ring.java
@@ -31,12 +31,12 @@
     /** Adds a message; one that is larger than half of the ring is dropped and counted as lost. */
     void add(MessageLite message) {
         int size = message.getSerializedSize();
-        int whole = size + CodedOutputStream.computeUInt32SizeNoTag(size);
-        if (whole > current.length) {
+        int sizeWithLength = size + CodedOutputStream.computeUInt32SizeNoTag(size);
+        if (sizeWithLength > current.length) {
             lost++;
             return;
         }
-        if (used + whole > current.length) {
+        if (used + sizeWithLength > current.length) {
             lost += olderCount;
             byte[] full = current;
             current = older;
@@ -46,7 +46,7 @@
             used = 0;
             count = 0;
         }
-        CodedOutputStream out = CodedOutputStream.newInstance(current, used, whole);
+        CodedOutputStream out = CodedOutputStream.newInstance(current, used, sizeWithLength);
         try {
             out.writeUInt32NoTag(size);
             message.writeTo(out);
@@ -54,7 +54,7 @@
         } catch (IOException e) {
             throw new UncheckedIOException(e); // can't happen, as there is room for the message
         }
-        used += whole;
+        used += sizeWithLength;
         count++;
     }
 
@@ -64,10 +64,10 @@
     }
 
     /** A copy of the contents, oldest message first. */
-    byte[] copy() {
-        byte[] all = new byte[olderUsed + used];
-        System.arraycopy(older, 0, all, 0, olderUsed);
-        System.arraycopy(current, 0, all, olderUsed, used);
-        return all;
+    byte[] contents() {
+        byte[] copied = new byte[olderUsed + used];
+        System.arraycopy(older, 0, copied, 0, olderUsed);
+        System.arraycopy(current, 0, copied, olderUsed, used);
+        return copied;
     }
 }
--- a/src/main/java/copperbeam/routing/Actor.java
+++ b/src/main/java/copperbeam/routing/Actor.java
@@ -18,71 +18,71 @@
  */
 public abstract class Actor<M> {
     private static final Logger LOG = Logger.getLogger(Actor.class.getName());
-    private static final int TURN = 32; // messages handled in a row before other actors get their turn
+    private static final int MAX_MESSAGES_PER_TURN = 32; // messages handled in a row before other actors get their turn
 
     private final ConcurrentLinkedQueue<M> mailbox = new ConcurrentLinkedQueue<>();
-    private final ConcurrentLinkedQueue<M> urgent = new ConcurrentLinkedQueue<>();
-    private final AtomicInteger waiting = new AtomicInteger();
-    private final ScheduledExecutorService turns;
+    private final ConcurrentLinkedQueue<M> urgentMailbox = new ConcurrentLinkedQueue<>();
+    private final AtomicInteger pendingCount = new AtomicInteger();
+    private final ScheduledExecutorService scheduler;
 
-    protected Actor(ScheduledExecutorService turns) {
-        this.turns = turns;
+    protected Actor(ScheduledExecutorService scheduler) {
+        this.scheduler = scheduler;
     }
 
     /** Sends a message; callable from any thread. */
     public final void tell(M message) {
-        add(mailbox, message);
+        enqueue(mailbox, message);
     }
 
     /**
      * Sends a message that is handled before all waiting messages that are not urgent. For messages that must be acted on
      * within a bounded time, such as a drain, and must not queue behind many new requests. Callable from any thread.
      */
-    public final void tellFirst(M message) {
-        add(urgent, message);
+    public final void tellUrgent(M message) {
+        enqueue(urgentMailbox, message);
     }
 
-    final void tell(boolean first, M message) {
-        add(first ? urgent : mailbox, message);
+    final void tell(boolean isUrgent, M message) {
+        enqueue(isUrgent ? urgentMailbox : mailbox, message);
     }
 
-    private void add(ConcurrentLinkedQueue<M> queue, M message) {
+    private void enqueue(ConcurrentLinkedQueue<M> queue, M message) {
         queue.add(message);
-        if (waiting.getAndIncrement() == 0) {
-            turn(turns);
+        if (pendingCount.getAndIncrement() == 0) {
+            requestTurn(scheduler);
         }
     }
 
     /** Sends a message after a delay, unless the returned future is cancelled before. */
-    public final Future<?> tellLater(Duration after, M message) {
-        return later(after, () -> tell(message));
+    public final Future<?> tellLater(Duration delay, M message) {
+        return schedule(delay, () -> tell(message));
     }
 
-    public final Future<?> tellFirstLater(Duration after, M message) {
-        return later(after, () -> tellFirst(message));
+    public final Future<?> tellUrgentLater(Duration delay, M message) {
+        return schedule(delay, () -> tellUrgent(message));
     }
 
-    private Future<?> later(Duration after, Runnable task) {
+    private Future<?> schedule(Duration delay, Runnable task) {
         try {
-            return turns.schedule(task, Math.max(0, after.toNanos()), TimeUnit.NANOSECONDS);
+            return scheduler.schedule(task, Math.max(0, delay.toNanos()), TimeUnit.NANOSECONDS);
         } catch (RejectedExecutionException e) {
             LOG.finest("delayed message dropped: the executor has shut down");
             return CompletableFuture.completedFuture(null);
         }
     }
 
-    private void turn(Executor executor) {
+    private void requestTurn(Executor executor) {
         try {
-            executor.execute(this::run);
+            executor.execute(this::runTurn);
         } catch (RejectedExecutionException e) {
             LOG.finest("message dropped: the executor has shut down");
         }
     }
 
-    private void run() {
-        int done = 0;
-        for (; done < TURN; done++) {
-            M message = urgent.poll();
+    private void runTurn() {
+        int handled = 0;
+        for (; handled < MAX_MESSAGES_PER_TURN; handled++) {
+            M message = urgentMailbox.poll();
             message = message == null ? mailbox.poll() : message;
             if (message == null) {
                 break;
@@ -90,7 +90,8 @@
             try {
                 receive(message);
             } catch (RuntimeException | Error e) {
-                // one message that fails must not stop the actor and all requests that it serves; Errors are caught too,
+                // one message that fails must not stop the actor and all requests that it serves; Errors are caught
+                // too,
                 // since the JVM throws them when it runs out of file descriptors
                 LOG.log(
                         Level.SEVERE,
@@ -99,8 +100,8 @@
                         e);
             }
         }
-        if (waiting.addAndGet(-done) > 0) {
-            turn(turns);
+        if (pendingCount.addAndGet(-handled) > 0) {
+            requestTurn(scheduler);
         }
     }
 
--- a/src/main/java/copperbeam/routing/AnsweredConnections.java
+++ b/src/main/java/copperbeam/routing/AnsweredConnections.java
@@ -11,34 +11,34 @@
  * still come up. Confined to its {@link PeerActor}.
  */
 final class AnsweredConnections {
-    private static final class Life {
-        final long order; // of opening, ascending
-        Instant answered; // when the newest of its answered calls was dispatched; null: none yet
+    private static final class ConnectionHistory {
+        final long openingOrder; // of opening, ascending
+        Instant newestAnsweredDispatch; // when the newest of its answered calls was dispatched; null: none yet
 
-        Life(long order) {
-            this.order = order;
+        ConnectionHistory(long openingOrder) {
+            this.openingOrder = openingOrder;
         }
     }
 
-    private final Map<Connection, Life> lives = new IdentityHashMap<>();
-    private long opened;
-    private Instant answered; // the same over all connections, including those closed since
+    private final Map<Connection, ConnectionHistory> histories = new IdentityHashMap<>();
+    private long openedCount;
+    private Instant newestAnsweredDispatch; // the same over all connections, including those closed since
 
-    void opened(Connection connection) {
-        lives.put(connection, new Life(++opened));
+    void connectionOpened(Connection connection) {
+        histories.put(connection, new ConnectionHistory(++openedCount));
     }
 
-    void closed(Connection connection) {
-        lives.remove(connection);
+    void connectionClosed(Connection connection) {
+        histories.remove(connection);
     }
 
     /** Records that the call has received an answer, or the head of one. */
-    void answered(ServerCall call) {
-        Life life = lives.get(call.connection);
-        if (life != null) {
-            life.answered = later(life.answered, call.written);
+    void callAnswered(ServerCall call) {
+        ConnectionHistory history = histories.get(call.connection);
+        if (history != null) {
+            history.newestAnsweredDispatch = laterOf(history.newestAnsweredDispatch, call.dispatchedAt);
         }
-        answered = later(answered, call.written);
+        newestAnsweredDispatch = laterOf(newestAnsweredDispatch, call.dispatchedAt);
     }
 
     /**
@@ -46,21 +46,23 @@
      * had carried others before, that answer must have come on an older connection, because a fault that silences
      * established connections would have silenced that one as well.
      */
-    boolean proveArrival(ServerCall call) {
-        Life own = lives.get(call.connection);
-        if (own == null || call.written == null) {
+    boolean isArrivalProven(ServerCall call) {
+        ConnectionHistory history = histories.get(call.connection);
+        if (history == null || call.dispatchedAt == null) {
             return false;
         }
-        return call.reused
-                ? lives.values().stream().anyMatch(life -> life.order < own.order && after(life.answered, call.written))
-                : after(answered, call.written);
+        return call.connectionReused
+                ? histories.values().stream()
+                        .anyMatch(other -> other.openingOrder < history.openingOrder
+                                && isAfter(other.newestAnsweredDispatch, call.dispatchedAt))
+                : isAfter(newestAnsweredDispatch, call.dispatchedAt);
     }
 
-    private static Instant later(Instant one, Instant other) {
-        return after(one, other) ? one : other;
+    private static Instant laterOf(Instant first, Instant second) {
+        return isAfter(first, second) ? first : second;
     }
 
-    private static boolean after(Instant one, Instant other) {
-        return one != null && one.isAfter(other);
+    private static boolean isAfter(Instant first, Instant second) {
+        return first != null && first.isAfter(second);
     }
 }
--- a/src/main/java/copperbeam/routing/Connector.java
+++ b/src/main/java/copperbeam/routing/Connector.java
@@ -12,13 +12,13 @@
      * Opens a connection. Calls exactly one of {@code connected} and {@code connectFailed} on the listener, and
      * {@code closed} once for a connection that was established.
      */
-    void connect(InetSocketAddress to, Duration timeout, Watcher watcher);
+    void connect(InetSocketAddress address, Duration timeout, ConnectionListener listener);
 
     /** Notified when a connection opens, fails to open or closes. */
-    interface Watcher {
-        void up(Connection connection);
+    interface ConnectionListener {
+        void connected(Connection connection);
 
-        void failed();
+        void connectFailed();
 
         void closed(Connection connection);
     }
@@ -27,22 +27,22 @@
     interface Connection {
         boolean isOpen();
 
-        void call(Call call, Listener listener);
+        void call(Call call, CallListener listener);
 
         /** Sends the last byte of a call that was held back ({@link AttemptCall#holdLastByte}). */
-        void let();
+        void sendLastByte();
 
         /** Flow control: extends the receive window, so that the server may send {@code bytes} more. */
         void grant(int bytes);
 
         /** Whether the server is stopped by flow control: the receive window is used up because the client does not read. */
-        boolean heldBack();
+        boolean isReceiveWindowFull();
 
         /**
          * Runs {@code then} after everything the server has sent by now was read and passed to the listener, as far as
          * the receive window allows.
          */
-        void readOut(Runnable read);
+        void readOut(Runnable then);
 
         void close();
 
@@ -72,26 +72,26 @@
      * @param maySendLastByte the same for the last byte
      */
     record AttemptCall(
-            Ask ask,
+            RequestSpec spec,
             boolean reads,
-            Supplier<Duration> patience,
-            boolean hold,
-            BooleanSupplier mayBegin,
-            BooleanSupplier wanted)
+            Supplier<Duration> timeLeft,
+            boolean holdLastByte,
+            BooleanSupplier maySendHead,
+            BooleanSupplier maySendLastByte)
             implements Call {}
 
     /** A health probe. */
     record ProbeCall() implements Call {}
 
     /** Asks the server to release the read state that belongs to the request with this id. */
-    record ReleaseCall(String id) implements Call {}
+    record ReleaseCall(String requestId) implements Call {}
 
     /**
      * What a server's answer means. READ: the read is complete, and the server holds its state; TURNED_AWAY: the server did not
      * run the request; STATE_MISSING: the same, because it found no read state to write from; HEARD: a probe or a release
      * was confirmed.
      */
-    enum Word {
+    enum AnswerKind {
         STREAM,
         READ,
         TURNED_AWAY,
@@ -101,21 +101,21 @@
     }
 
     /** Receives the progress of a call, in order; the last notification is {@code end} or {@code broken}. */
-    interface Listener {
+    interface CallListener {
         /** The whole request was written to the connection. */
         void sent();
 
         /** All but the last byte was sent, which is held back. */
-        void held();
+        void lastByteHeld();
 
         /**
          * The kind of the answer is known: for an attempt with the head of the answer, else with its end. {@code report}
          * may be null.
          */
-        void word(Word word, Report report);
+        void answerClassified(AnswerKind kind, Report report);
 
         /** One complete event of a stream, including the blank line that terminates it. */
-        void event(byte[] raw);
+        void event(byte[] eventBytes);
 
         /**
          * The answer is complete.
@@ -123,12 +123,12 @@
          * @param reusable whether the connection can carry another call
          * @param keptTokens how many tokens of the prompt a read found in the server's cache, NaN if unknown
          */
-        void end(boolean reusable, double kept);
+        void end(boolean reusable, double keptTokens);
 
         /**
          * The connection ended before the answer was complete. {@code lastByteMayHaveLeft}: the server may have the whole
          * request, and may have run it.
          */
-        void broken(boolean written);
+        void broken(boolean lastByteMayHaveLeft);
     }
 }
--- a/src/main/java/copperbeam/routing/HookActor.java
+++ b/src/main/java/copperbeam/routing/HookActor.java
@@ -1,6 +1,6 @@
 package copperbeam.routing;
 
-import copperbeam.Api.Effect;
+import copperbeam.Api.Repeats;
 import copperbeam.Api.RequestClass;
 import copperbeam.Api.Settings;
 import java.time.Clock;
@@ -20,13 +20,14 @@
  */
 public final class HookActor extends Actor<HookActor.Message> implements Intake {
     /** Messages of this actor. */
-    public sealed interface Message permits Arrive {}
+    public sealed interface Message permits RequestArrived {}
 
     /**
      * A request to run the hooks on. {@code handled}: set by whoever answers the request or passes it on; {@code expiry}: the
      * timer that fails it at its deadline.
      */
-    private record Arrive(Ask ask, Answer answer, AtomicBoolean handled, Future<?> expiry) implements Message {
+    private record RequestArrived(RequestSpec spec, ResponseSink response, AtomicBoolean handled, Future<?> expiry)
+            implements Message {
         /** Stops the expiry timer; returns whether the caller is the first to answer the request or pass it on. */
         boolean claim() {
             expiry.cancel(false);
@@ -47,13 +48,13 @@
      * run, which a hanging hook blocks.
      */
     public HookActor(
-            ScheduledExecutorService own,
+            ScheduledExecutorService hookThread,
             ScheduledExecutorService timers,
             Clock clock,
             List<RequestHook> hooks,
             Settings settings,
             Intake next) {
-        super(own);
+        super(hookThread);
         this.timers = timers;
         this.clock = clock;
         this.hooks = List.copyOf(hooks);
@@ -62,22 +63,22 @@
     }
 
     @Override
-    public void arrive(Ask ask, Answer answer) {
+    public void submit(RequestSpec spec, ResponseSink response) {
         AtomicBoolean handled = new AtomicBoolean();
-        tell(new Arrive(ask, answer, handled, expiry(ask, answer, handled)));
+        tell(new RequestArrived(spec, response, handled, scheduleExpiry(spec, response, handled)));
     }
 
     /** Schedules a failure at the deadline: behind a slow or hanging hook, queued requests would be answered late or never. */
-    private Future<?> expiry(Ask ask, Answer answer, AtomicBoolean handled) {
-        Duration left = Duration.between(clock.instant(), ask.deadline());
+    private Future<?> scheduleExpiry(RequestSpec spec, ResponseSink response, AtomicBoolean handled) {
+        Duration remaining = Duration.between(clock.instant(), spec.deadline());
         Runnable expire = () -> {
             if (handled.compareAndSet(false, true)) {
-                LOG.warning("plug-ins gave no verdict by the deadline: request " + ask.id());
-                answer.fail(Answer.Failure.TOO_LATE);
+                LOG.warning("plug-ins gave no verdict by the deadline: request " + spec.id());
+                response.fail(ResponseSink.Failure.TOO_LATE);
             }
         };
         try {
-            return timers.schedule(expire, Math.max(0, left.toMillis()), TimeUnit.MILLISECONDS);
+            return timers.schedule(expire, Math.max(0, remaining.toMillis()), TimeUnit.MILLISECONDS);
         } catch (RejectedExecutionException e) {
             LOG.finest("request arrived after shutdown of the timers");
             return CompletableFuture.completedFuture(null);
@@ -86,38 +87,38 @@
 
     /** Passes the message on at once, as hooks may be slow. A request that is still queued here is dropped when its turn comes. */
     @Override
-    public void left(Answer answer) {
-        next.left(answer);
+    public void clientGone(ResponseSink response) {
+        next.clientGone(response);
     }
 
     @Override
-    protected void receive(Message m) {
-        Arrive e = (Arrive) m;
-        Ask ask = e.ask();
+    protected void receive(Message message) {
+        RequestArrived arrival = (RequestArrived) message;
+        RequestSpec spec = arrival.spec();
         for (RequestHook hook : hooks) {
-            if (e.answer().gone() || e.handled().get()) {
+            if (arrival.response().gone() || arrival.handled().get()) {
                 return;
             }
             RequestHook.Verdict verdict = RequestHook.Verdict.PASS;
             try {
-                verdict = hook.onRequest(ask);
+                verdict = hook.onRequest(spec);
             } catch (Exception | Error failure) { // an Error too, or the request would be lost
                 LOG.warning("plug-in " + hook.name() + " failed and is skipped: " + failure);
             }
-            if (verdict.refuseFor() != null && ask.resumed() && effect(ask.requestClass()) != Effect.SAFE) {
-                LOG.warning("plug-in " + hook.name() + " may not refuse a request that has run: " + ask.id());
-            } else if (verdict.refuseFor() != null) {
-                if (e.claim()) {
-                    e.answer().refuse(verdict.refuseFor(), false);
+            if (verdict.retryAfter() != null && spec.resumed() && effectOf(spec.requestClass()) != Repeats.SAFE) {
+                LOG.warning("plug-in " + hook.name() + " may not refuse a request that has run: " + spec.id());
+            } else if (verdict.retryAfter() != null) {
+                if (arrival.claim()) {
+                    arrival.response().refuse(verdict.retryAfter(), false);
                 }
                 return;
             }
             if (verdict.requestClass() != null) {
-                ask = changed(hook, ask, verdict.requestClass());
+                spec = withClass(hook, spec, verdict.requestClass());
             }
         }
-        if (e.claim()) {
-            next.arrive(ask, e.answer());
+        if (arrival.claim()) {
+            next.submit(spec, arrival.response());
         }
     }
 
@@ -125,30 +126,31 @@
      * Returns the request with the class that a hook asks for, or unchanged if that class is unknown or could allow more repeats
      * than the current one: a request that must run only once must not become repeatable.
      */
-    private Ask changed(RequestHook hook, Ask ask, String name) {
-        Effect effect = effect(name);
-        if (effect == null || effect(ask.requestClass()) != Effect.SAFE && effect != Effect.UNSAFE) {
-            LOG.warning("plug-in " + hook.name() + " may not change class " + ask.requestClass() + " to " + name);
-            return ask;
+    private RequestSpec withClass(RequestHook hook, RequestSpec spec, String requestClass) {
+        Repeats effect = effectOf(requestClass);
+        if (effect == null || effectOf(spec.requestClass()) != Repeats.SAFE && effect != Repeats.UNSAFE) {
+            LOG.warning(
+                    "plug-in " + hook.name() + " may not change class " + spec.requestClass() + " to " + requestClass);
+            return spec;
         }
-        return new Ask(
-                ask.id(),
-                name,
-                ask.customer(),
-                ask.session(),
-                ask.prefix(),
-                ask.promptTokens(),
-                ask.prefixTokens(),
-                ask.maxAnswerTokens(),
-                ask.deadline(),
-                ask.resumed(),
-                ask.payload());
+        return new RequestSpec(
+                spec.id(),
+                requestClass,
+                spec.customer(),
+                spec.session(),
+                spec.prefix(),
+                spec.promptTokens(),
+                spec.prefixTokens(),
+                spec.maxAnswerTokens(),
+                spec.deadline(),
+                spec.resumed(),
+                spec.payload());
     }
 
-    private Effect effect(String name) {
+    private Repeats effectOf(String requestClass) {
         return settings.classes().stream()
-                .filter(c -> c.name().equals(name))
-                .map(RequestClass::effect)
+                .filter(c -> c.name().equals(requestClass))
+                .map(RequestClass::repeats)
                 .findFirst()
                 .orElse(null);
     }
--- a/src/main/java/copperbeam/routing/IdleConnections.java
+++ b/src/main/java/copperbeam/routing/IdleConnections.java
@@ -11,15 +11,17 @@
 /** The idle connections to one server, kept for reuse. Confined to its {@link PeerActor}. */
 final class IdleConnections {
     /** A kept connection; {@code idleSince} is when its last call ended. */
-    record Idle(Connection connection, Instant since) {}
+    record IdleConnection(Connection connection, Instant idleSince) {}
 
-    // a faulty server may send a second answer some milliseconds after the first; on a connection that was reused by then,
+    // a faulty server may send a second answer some milliseconds after the first; on a connection that was reused by
+    // then,
     // it would be taken for the answer to the next call
-    private static final Duration SETTLING = Duration.ofMillis(30);
-    private static final Duration SHORTEST_LIFETIME = Duration.ofMillis(100); // a server that closes sooner closes after each answer
+    private static final Duration MIN_IDLE_BEFORE_REUSE = Duration.ofMillis(30);
+    private static final Duration MIN_LIFETIME =
+            Duration.ofMillis(100); // a server that closes sooner closes after each answer
 
     private final Clock clock;
-    private final Deque<Idle> connections = new ArrayDeque<>();
+    private final Deque<IdleConnection> connections = new ArrayDeque<>();
     private Duration lifetime;
     private int capacity = 1;
 
@@ -38,11 +40,11 @@
     }
 
     void add(Connection connection) {
-        connections.add(new Idle(connection, clock.instant()));
+        connections.add(new IdleConnection(connection, clock.instant()));
         evict();
     }
 
-    void limit(int newCapacity) {
+    void setCapacity(int newCapacity) {
         capacity = newCapacity;
         evict();
     }
@@ -54,17 +56,17 @@
     }
 
     /** Removes and returns the most recently used connection that has been idle long enough for reuse, or null. */
-    Idle take() {
+    IdleConnection takeReusable() {
         Instant now = clock.instant();
-        for (Iterator<Idle> i = connections.descendingIterator(); i.hasNext(); ) {
-            Idle next = i.next();
+        for (Iterator<IdleConnection> iterator = connections.descendingIterator(); iterator.hasNext(); ) {
+            IdleConnection candidate = iterator.next();
             // a connection that the server may be closing is not reused: a request written on it would count as reset
-            if (!next.connection().isOpen() || isStale(next, now)) {
-                i.remove();
-                next.connection().close();
-            } else if (!next.since().isAfter(now.minus(SETTLING))) {
-                i.remove();
-                return next;
+            if (!candidate.connection().isOpen() || isStale(candidate, now)) {
+                iterator.remove();
+                candidate.connection().close();
+            } else if (!candidate.idleSince().isAfter(now.minus(MIN_IDLE_BEFORE_REUSE))) {
+                iterator.remove();
+                return candidate;
             }
         }
         return null;
@@ -73,17 +75,17 @@
     /** Closes the connections that have reached their idle lifetime, well before the server would. */
     void closeStale() {
         Instant now = clock.instant();
-        for (Iterator<Idle> i = connections.iterator(); i.hasNext(); ) {
-            Idle next = i.next();
-            if (isStale(next, now)) {
-                i.remove();
-                next.connection().close();
+        for (Iterator<IdleConnection> iterator = connections.iterator(); iterator.hasNext(); ) {
+            IdleConnection candidate = iterator.next();
+            if (isStale(candidate, now)) {
+                iterator.remove();
+                candidate.connection().close();
             }
         }
     }
 
-    private boolean isStale(Idle idle, Instant now) {
-        return !idle.since().isAfter(now.minus(lifetime));
+    private boolean isStale(IdleConnection idle, Instant now) {
+        return !idle.idleSince().isAfter(now.minus(lifetime));
     }
 
     /**
@@ -92,27 +94,28 @@
      *
      * @return whether the lifetime was shortened
      */
-    boolean closed(Connection connection) {
-        for (Iterator<Idle> i = connections.iterator(); i.hasNext(); ) {
-            Idle next = i.next();
-            if (next.connection() == connection) {
-                i.remove();
-                return shorten(Duration.between(next.since(), clock.instant()).dividedBy(2));
+    boolean removeClosed(Connection connection) {
+        for (Iterator<IdleConnection> iterator = connections.iterator(); iterator.hasNext(); ) {
+            IdleConnection candidate = iterator.next();
+            if (candidate.connection() == connection) {
+                iterator.remove();
+                return shortenLifetime(
+                        Duration.between(candidate.idleSince(), clock.instant()).dividedBy(2));
             }
         }
         return false;
     }
 
-    private boolean shorten(Duration half) {
-        if (half.compareTo(SHORTEST_LIFETIME) <= 0 || half.compareTo(lifetime) >= 0) {
+    private boolean shortenLifetime(Duration newLifetime) {
+        if (newLifetime.compareTo(MIN_LIFETIME) <= 0 || newLifetime.compareTo(lifetime) >= 0) {
             return false;
         }
-        lifetime = half;
+        lifetime = newLifetime;
         return true;
     }
 
     void closeAll() {
-        connections.forEach(i -> i.connection().close());
+        connections.forEach(idle -> idle.connection().close());
         connections.clear();
     }
 }
--- a/src/main/java/copperbeam/routing/ListActor.java
+++ b/src/main/java/copperbeam/routing/ListActor.java
@@ -21,99 +21,101 @@
  */
 public final class ListActor extends Actor<ListActor.Message> {
     /** The messages this actor handles. */
-    public sealed interface Message permits Told, Idle {}
+    public sealed interface Message permits ListChanged, IdleLimit {}
 
     /** The server list has changed; {@code onApplied} runs once the {@link ModuleActor} has the change, and may be null. */
-    public record Told(MembershipSource.Change change, Runnable acted) implements Message {}
+    public record ListChanged(MembershipSource.Change change, Runnable onApplied) implements Message {}
 
     /** Sets how many idle connections may be kept to all servers together. */
-    public record Idle(int connections) implements Message {}
+    public record IdleLimit(int maxConnections) implements Message {}
 
-    private static final int MOST_IDLE = 16; // idle connections kept to one server
+    private static final int MAX_IDLE_PER_SERVER = 16; // idle connections kept to one server
 
     private final Map<String, PeerActor> peers = new HashMap<>();
     private final Map<String, InetSocketAddress> addresses = new HashMap<>(); // of the peers, by the same ids
-    private final BiFunction<String, InetSocketAddress, PeerActor> newPeer;
+    private final BiFunction<String, InetSocketAddress, PeerActor> peerFactory;
     private final ModuleActor module;
     private final ReleaseActor releases;
-    private int idle;
+    private int maxIdle;
 
     /** {@code maxIdle}: how many idle connections may be kept to all servers together. */
     public ListActor(
-            ScheduledExecutorService turns,
-            BiFunction<String, InetSocketAddress, PeerActor> newPeer,
+            ScheduledExecutorService scheduler,
+            BiFunction<String, InetSocketAddress, PeerActor> peerFactory,
             ModuleActor module,
             ReleaseActor releases,
-            int idle) {
-        super(turns);
-        this.newPeer = newPeer;
+            int maxIdle) {
+        super(scheduler);
+        this.peerFactory = peerFactory;
         this.module = module;
         this.releases = releases;
-        this.idle = idle;
+        this.maxIdle = maxIdle;
     }
 
     @Override
-    protected void receive(Message m) {
-        if (m instanceof Idle e) {
-            idle = e.connections();
-            share();
-        } else if (m instanceof Told e) {
-            told(e);
+    protected void receive(Message message) {
+        if (message instanceof IdleLimit received) {
+            maxIdle = received.maxConnections();
+            distributeIdleLimit();
+        } else if (message instanceof ListChanged received) {
+            applyChange(received);
         }
     }
 
-    private void told(Told told) {
-        MembershipSource.Change change = told.change();
-        boolean whole = change.kind() == ListKind.FULL || change.kind() == ListKind.CACHED;
-        Set<String> left = whole ? new HashSet<>(peers.keySet()) : new HashSet<>();
+    private void applyChange(ListChanged listChanged) {
+        MembershipSource.Change change = listChanged.change();
+        boolean fullList = change.kind() == ListKind.FULL || change.kind() == ListKind.CACHED;
+        Set<String> removed = fullList ? new HashSet<>(peers.keySet()) : new HashSet<>();
         List<copperbeam.Api.Member> members = new ArrayList<>();
-        for (MembershipSource.Entry e : change.entries()) {
-            String id = e.member().server();
-            members.add(e.member());
-            if (e.member().state() == ServerState.GONE) {
-                left.add(id);
+        for (MembershipSource.Entry entry : change.entries()) {
+            String id = entry.member().server();
+            members.add(entry.member());
+            if (entry.member().state() == ServerState.GONE) {
+                removed.add(id);
             } else {
-                left.remove(id);
-                at(id, e.address()).tell(new PeerActor.Listed(e.member().state() == ServerState.DRAINING));
+                removed.remove(id);
+                peerAt(id, entry.address())
+                        .tell(new PeerActor.Listed(entry.member().state() == ServerState.DRAINING));
             }
         }
-        for (Iterator<Map.Entry<String, PeerActor>> i = peers.entrySet().iterator(); i.hasNext(); ) {
-            Map.Entry<String, PeerActor> next = i.next();
-            if (left.contains(next.getKey())) {
-                next.getValue().tell(new PeerActor.Gone());
-                i.remove();
+        for (Iterator<Map.Entry<String, PeerActor>> iterator = peers.entrySet().iterator(); iterator.hasNext(); ) {
+            Map.Entry<String, PeerActor> idAndPeer = iterator.next();
+            if (removed.contains(idAndPeer.getKey())) {
+                idAndPeer.getValue().tell(new PeerActor.Removed());
+                iterator.remove();
             }
         }
         addresses.keySet().retainAll(peers.keySet());
-        share();
+        distributeIdleLimit();
         // servers are asked for a release in this map's order; unlike Map.copyOf's, it is the same in each run
-        Map<String, PeerActor> known = Collections.unmodifiableMap(new HashMap<>(peers));
-        module.tellFirst(new ModuleActor.Listed(change.kind(), members, known, told.acted()));
-        releases.tell(new ReleaseActor.Listed(known));
+        Map<String, PeerActor> listedPeers = Collections.unmodifiableMap(new HashMap<>(peers));
+        module.tellUrgent(new ModuleActor.ServersListed(change.kind(), members, listedPeers, listChanged.onApplied()));
+        releases.tell(new ReleaseActor.ServersListed(listedPeers));
     }
 
     /**
      * Returns the peer of a server. A new address gets a new peer, so that connections to the old address, once their calls
      * end, are not reused for the server.
      */
-    private PeerActor at(String id, InetSocketAddress address) {
+    private PeerActor peerAt(String id, InetSocketAddress address) {
         if (!address.equals(addresses.put(id, address))) {
-            PeerActor before = peers.put(id, newPeer.apply(id, address));
-            if (before != null) {
-                before.tell(new PeerActor.Gone());
+            PeerActor previous = peers.put(id, peerFactory.apply(id, address));
+            if (previous != null) {
+                previous.tell(new PeerActor.Removed());
             }
         }
         return peers.get(id);
     }
 
     /** Distributes the limit on idle connections evenly; with more servers than connections, some servers get none. */
-    private void share() {
-        int all = Math.max(0, idle);
-        int each = all / Math.max(1, peers.size());
-        int left = all % Math.max(1, peers.size());
+    private void distributeIdleLimit() {
+        int total = Math.max(0, maxIdle);
+        int perServer = total / Math.max(1, peers.size());
+        int remainder = total % Math.max(1, peers.size());
         for (PeerActor peer : peers.values()) {
-            peer.tell(new PeerActor.Room(Math.min(MOST_IDLE, left > 0 ? each + 1 : each)));
-            left--;
+            peer.tell(
+                    new PeerActor.IdleLimit(Math.min(MAX_IDLE_PER_SERVER, remainder > 0 ? perServer + 1 : perServer)));
+            remainder--;
         }
     }
 }
--- a/src/main/java/copperbeam/routing/Metrics.java
+++ b/src/main/java/copperbeam/routing/Metrics.java
@@ -27,45 +27,45 @@
     /** Number of listed servers, and of those that the conductor avoids now, on an operator's order or by its own decision. */
     public record Cluster(int size, int avoided) {}
 
-    private final Map<String, Counts> classes = new LinkedHashMap<>();
-    private final AtomicLong current = new AtomicLong();
+    private final Map<String, Counts> countsByClass = new LinkedHashMap<>();
+    private final AtomicLong openRequests = new AtomicLong();
     private final CauseCounts causes = new CauseCounts();
     private final StageTimes stages = new StageTimes();
     private volatile Cluster cluster = new Cluster(0, 0);
 
     /** {@code names}: the classes counted; a request of another class counts only among the open requests. */
     public Metrics(Collection<String> names) {
-        names.forEach(n -> classes.put(n, new Counts()));
+        names.forEach(n -> countsByClass.put(n, new Counts()));
     }
 
     /** Counts a request that was accepted. */
-    public void taken() {
-        current.incrementAndGet();
+    public void requestAccepted() {
+        openRequests.incrementAndGet();
     }
 
     /** Counts the end of an accepted request. */
-    public void ended(String requestClass, End end) {
-        current.decrementAndGet();
+    public void requestEnded(String requestClass, End end) {
+        openRequests.decrementAndGet();
         count(requestClass, end);
     }
 
     /** Counts a request that got its final answer without being accepted. */
-    public void turnedAway(String requestClass, End end) {
+    public void requestRejected(String requestClass, End end) {
         count(requestClass, end);
     }
 
     private void count(String requestClass, End end) {
-        Counts c = requestClass == null ? null : classes.get(requestClass);
-        if (c != null) {
-            c.ends[end.ordinal()].incrementAndGet();
+        Counts counts = requestClass == null ? null : countsByClass.get(requestClass);
+        if (counts != null) {
+            counts.ends[end.ordinal()].incrementAndGet();
         }
     }
 
     /** Counts an attempt that was completely written to a server. */
-    public void sent(String requestClass) {
-        Counts c = classes.get(requestClass);
-        if (c != null) {
-            c.sends.incrementAndGet();
+    public void attemptSent(String requestClass) {
+        Counts counts = countsByClass.get(requestClass);
+        if (counts != null) {
+            counts.sends.incrementAndGet();
         }
     }
 
@@ -79,8 +79,8 @@
         return stages;
     }
 
-    void cluster(Cluster now) {
-        cluster = now;
+    void cluster(Cluster newCluster) {
+        cluster = newCluster;
     }
 
     public Cluster cluster() {
@@ -88,19 +88,19 @@
     }
 
     /** Number of requests accepted and not yet ended. */
-    public long current() {
-        return current.get();
+    public long openRequests() {
+        return openRequests.get();
     }
 
     public long count(End end, String requestClass) {
-        return classes.get(requestClass).ends[end.ordinal()].get();
+        return countsByClass.get(requestClass).ends[end.ordinal()].get();
     }
 
     public long sends(String requestClass) {
-        return classes.get(requestClass).sends.get();
+        return countsByClass.get(requestClass).sends.get();
     }
 
     public Collection<String> classes() {
-        return classes.keySet();
+        return countsByClass.keySet();
     }
 }
--- a/src/main/java/copperbeam/routing/OpenRequest.java
+++ b/src/main/java/copperbeam/routing/OpenRequest.java
@@ -18,24 +18,24 @@
     }
 
     final long key;
-    final Ask ask;
-    final Answer answer;
+    final RequestSpec spec;
+    final ResponseSink response;
     final RequestRules rules;
     volatile Phase phase = Phase.OPEN; // also read by the transport just before it sends the last byte of an attempt
     int attempts;
-    boolean out;
-    Instant until; // when the attempt in flight should have ended, unless it is streaming
-    PeerActor at;
+    boolean attemptInFlight;
+    Instant attemptDeadline; // when the attempt in flight should have ended, unless it is streaming
+    PeerActor peer;
     final StateLease lease;
     Outcome lastOutcome; // of the last attempt that ended; null before the first end
     boolean releaseWanted;
     private Stage stage = Stage.WAITS_FOR_READER;
     private Instant stageSince;
 
-    OpenRequest(long key, Ask ask, Answer answer, RequestRules rules, StateLease lease, Instant now) {
+    OpenRequest(long key, RequestSpec spec, ResponseSink response, RequestRules rules, StateLease lease, Instant now) {
         this.key = key;
-        this.ask = ask;
-        this.answer = answer;
+        this.spec = spec;
+        this.response = response;
         this.rules = rules;
         this.lease = lease;
         stageSince = now;
@@ -46,8 +46,8 @@
     }
 
     /** Moves to the next stage and records the time spent in the current one. */
-    void enter(Stage next, Instant now, StageTimes times) {
-        times.stayed(ask.requestClass(), stage, Duration.between(stageSince, now));
+    void enterStage(Stage next, Instant now, StageTimes times) {
+        times.addStay(spec.requestClass(), stage, Duration.between(stageSince, now));
         stage = next;
         stageSince = now;
     }
