--- a/src/main/java/copperbeam/routing/PeerActor.java
+++ b/src/main/java/copperbeam/routing/PeerActor.java
@@ -2,8 +2,8 @@
 
 import copperbeam.Api.Outcome;
 import copperbeam.Api.Report;
+import copperbeam.routing.Connector.AnswerKind;
 import copperbeam.routing.Connector.Connection;
-import copperbeam.routing.Connector.Word;
 import java.net.InetSocketAddress;
 import java.time.Clock;
 import java.time.Duration;
@@ -22,36 +22,36 @@
     /** The messages this actor handles. */
     public sealed interface Message
             permits Listed,
-                    Gone,
-                    Room,
+                    Removed,
+                    IdleLimit,
                     Send,
-                    Stop,
-                    Cut,
+                    CancelAttempt,
+                    CancelAfterPendingInput,
                     Proceed,
-                    AskArrival,
+                    CheckArrival,
                     Probe,
                     Release,
-                    Up,
-                    NotUp,
-                    Closed,
-                    Answered,
-                    Event,
-                    Ended,
-                    Broken,
-                    Expired,
-                    SilenceCheck,
+                    Connected,
+                    ConnectFailed,
+                    ConnectionClosed,
+                    AnswerClassified,
+                    StreamEvent,
+                    CallCompleted,
+                    CallBroken,
+                    CallExpired,
+                    StallCheck,
                     ResetCheck,
                     IdleCheck,
                     SendLastByte {}
 
     /** The server is in the list. While it is {@code draining}, no attempt is started and no connection is kept idle. */
-    public record Listed(boolean drains) implements Message {}
+    public record Listed(boolean draining) implements Message {}
 
     /** The server has left the list: treated as draining, and its idle connections are closed. */
-    public record Gone() implements Message {}
+    public record Removed() implements Message {}
 
     /** Sets how many connections to this server may be kept idle. */
-    public record Room(int idle) implements Message {}
+    public record IdleLimit(int maxConnections) implements Message {}
 
     /**
      * Sends an attempt to the server.
@@ -65,126 +65,131 @@
      */
     public record Send(
             long request,
-            int number,
-            Ask ask,
-            Answer answer,
-            Instant until,
-            Instant latest,
-            Instant upBy,
-            boolean once,
+            int attempt,
+            RequestSpec spec,
+            ResponseSink response,
+            Instant expiresAt,
+            Instant sendBy,
+            Instant connectBy,
+            boolean atMostOnce,
             boolean reads,
-            BooleanSupplier over)
+            BooleanSupplier requestOver)
             implements Message {
         /** The client has gone or the request already has its final answer. */
-        boolean ended() {
-            return answer.gone() || over.getAsBoolean();
+        boolean isAbandoned() {
+            return response.gone() || requestOver.getAsBoolean();
         }
 
-        boolean wanted(Instant now) {
-            return !ended() && !now.isAfter(latest) && !now.isAfter(until);
+        boolean maySend(Instant now) {
+            return !isAbandoned() && !now.isAfter(sendBy) && !now.isAfter(expiresAt);
         }
     }
 
     /** Cancels an attempt in whatever state it is, and closes its connection. */
-    public record Stop(long request, int number) implements Message {}
+    public record CancelAttempt(long request, int attempt) implements Message {}
 
     /**
      * Cancels a streaming attempt, but only after everything its server has sent by now was passed on: the end of the
      * stream may be among it.
      */
-    public record Cut(long request, int number) implements Message {}
+    public record CancelAfterPendingInput(long request, int attempt) implements Message {}
 
     /** The {@link ModuleActor} has accepted the first event, so the stream may be passed on to the client. */
-    public record Proceed(long request, int number) implements Message {}
+    public record Proceed(long request, int attempt) implements Message {}
 
     /**
      * Asks whether answers to other calls show that the attempt has arrived at the server; answered with
      * {@link ModuleActor.ArrivalStatus}.
      */
-    public record AskArrival(long request, int number) implements Message {}
+    public record CheckArrival(long request, int attempt) implements Message {}
 
     /** Sends a health probe. */
     public record Probe() implements Message {}
 
     /** Asks the server to release the read state of the request with this id. */
-    public record Release(long ticket, String id) implements Message {}
+    public record Release(long ticket, String requestId) implements Message {}
 
-    private record Up(ServerCall work, Connection connection) implements Message {}
+    private record Connected(ServerCall serverCall, Connection connection) implements Message {}
 
     /**
      * A connect failed or took too long. {@code connectNumber} tells which connect of the call it was, so that a late
      * message about an earlier connect is ignored.
      */
-    private record NotUp(ServerCall work, int connect) implements Message {}
+    private record ConnectFailed(ServerCall serverCall, int connectNumber) implements Message {}
 
-    private record Closed(Connection connection) implements Message {}
+    private record ConnectionClosed(Connection connection) implements Message {}
 
-    private record Answered(ServerCall work, Word word, Report report) implements Message {}
+    private record AnswerClassified(ServerCall serverCall, AnswerKind kind, Report report) implements Message {}
 
-    private record Event(ServerCall work, byte[] raw) implements Message {}
+    private record StreamEvent(ServerCall serverCall, byte[] eventBytes) implements Message {}
 
     /**
      * The answer is complete. {@code endedAt} is when the transport saw its end, which may be long before the mailbox gets to
      * this message; the lease of a read state counts from then.
      */
-    private record Ended(ServerCall work, boolean reusable, double kept, Instant at) implements Message {}
+    private record CallCompleted(ServerCall serverCall, boolean reusable, double keptTokens, Instant endedAt)
+            implements Message {}
 
-    private record Broken(ServerCall work, boolean written, Instant at) implements Message {}
+    private record CallBroken(ServerCall serverCall, boolean lastByteMayHaveLeft, Instant endedAt) implements Message {}
 
-    private record Expired(ServerCall work) implements Message {}
+    private record CallExpired(ServerCall serverCall) implements Message {}
 
-    private record SilenceCheck(ServerCall work) implements Message {}
+    private record StallCheck(ServerCall serverCall) implements Message {}
 
     /**
      * Checks whether the TCP reset of a call that was terminated here has been sent. {@code checks}: how many checks came
      * before.
      */
-    private record ResetCheck(ServerCall work, Outcome outcome, int looks) implements Message {}
+    private record ResetCheck(ServerCall serverCall, Outcome outcome, int checks) implements Message {}
 
     private record IdleCheck() implements Message {}
 
-    private record SendLastByte(ServerCall work, Connection on) implements Message {}
+    private record SendLastByte(ServerCall serverCall, Connection connection) implements Message {}
 
     /** Settings and collaborators that all peers share; immutable. */
     public record Setup(
             Clock clock,
             Connector connector,
             Duration connectTimeout,
-            Duration idle,
+            Duration idleLifetime,
             Duration callTimeout,
             ModuleActor module,
             ReleaseActor releases,
             Recorder recorder,
             Metrics metrics) {}
 
-    private static final Duration SILENCE = Duration.ofSeconds(4); // maximum gap in a stream; clients may give up after 5 s
-    // how long the last byte of a request is held back, so that a connection that the server is already closing is noticed
+    private static final Duration STREAM_STALL_TIMEOUT =
+            Duration.ofSeconds(4); // maximum gap in a stream; clients may give up after 5 s
+    // how long the last byte of a request is held back, so that a connection that the server is already closing is
+    // noticed
     // before the request can run: nine in ten of such breaks arrive within this time
-    private static final Duration HOLD = Duration.ofMillis(2);
-    private static final Duration SHORT_ANSWER =
+    private static final Duration LAST_BYTE_HOLD = Duration.ofMillis(2);
+    private static final Duration SHORT_ANSWER_TIMEOUT =
             Duration.ofMillis(800); // from the head to the end of an answer that is not a stream
-    // from the choice of a connection to the first byte of the request: half of the second within which a drain must take
+    // from the choice of a connection to the first byte of the request: half of the second within which a drain must
+    // take
     // effect
-    private static final Duration MOST_ON_THE_WAY = Duration.ofMillis(500);
-    private static final int MOST_UNSENT = 3; // new connections that one call may use up
-    private static final Duration RESET_LOOK = Duration.ofMillis(1);
-    private static final int MOST_RESET_LOOKS = 250; // about 250 ms: a stalled reactor must not delay the outcome longer
+    private static final Duration MAX_DISPATCH_DELAY = Duration.ofMillis(500);
+    private static final int MAX_NEW_CONNECTIONS_PER_CALL = 3; // new connections that one call may use up
+    private static final Duration RESET_CHECK_INTERVAL = Duration.ofMillis(1);
+    private static final int MAX_RESET_CHECKS =
+            250; // about 250 ms: a stalled reactor must not delay the outcome longer
 
     private final String id;
     private final InetSocketAddress address;
     private final Setup setup;
     private final Map<Long, ServerCall> attempts = new HashMap<>();
-    private final IdleConnections idle;
-    private final AnsweredConnections answered = new AnsweredConnections();
-    private volatile boolean drains; // also read on the transport's thread
-    private Future<?> tidying;
+    private final IdleConnections idleConnections;
+    private final AnsweredConnections answeredConnections = new AnsweredConnections();
+    private volatile boolean draining; // also read on the transport's thread
+    private Future<?> idleCheckTimer;
 
-    public PeerActor(ScheduledExecutorService turns, String id, InetSocketAddress address, Setup setup) {
-        super(turns);
+    public PeerActor(ScheduledExecutorService scheduler, String id, InetSocketAddress address, Setup setup) {
+        super(scheduler);
         this.id = id;
         this.address = address;
         this.setup = setup;
-        idle = new IdleConnections(setup.clock(), setup.idle());
+        idleConnections = new IdleConnections(setup.clock(), setup.idleLifetime());
     }
 
     public String id() {
@@ -192,155 +197,170 @@
     }
 
     @Override
-    protected void receive(Message m) {
-        if (m instanceof Listed e) {
-            drains = e.drains();
-        } else if (m instanceof Gone) {
-            drains = true;
-            idle.closeAll();
-        } else if (m instanceof Room e) {
-            idle.limit(e.idle());
-        } else if (m instanceof Send e) {
-            ServerCall work = new ServerCall(e, setup.clock().instant());
-            attempts.put(e.request(), work);
-            begin(work, e.until());
-        } else if (m instanceof Probe || m instanceof Release) {
-            ServerCall work = new ServerCall(m, setup.clock().instant());
-            begin(work, work.began.plus(setup.callTimeout()));
-        } else if (m instanceof Stop e) {
-            ServerCall work = out(e.request(), e.number());
-            if (work != null) {
-                finish(work, Outcome.CANCELLED);
+    protected void receive(Message message) {
+        if (message instanceof Listed received) {
+            draining = received.draining();
+        } else if (message instanceof Removed) {
+            draining = true;
+            idleConnections.closeAll();
+        } else if (message instanceof IdleLimit received) {
+            idleConnections.setCapacity(received.maxConnections());
+        } else if (message instanceof Send received) {
+            ServerCall serverCall = new ServerCall(received, setup.clock().instant());
+            attempts.put(received.request(), serverCall);
+            startCall(serverCall, received.expiresAt());
+        } else if (message instanceof Probe || message instanceof Release) {
+            ServerCall serverCall = new ServerCall(message, setup.clock().instant());
+            startCall(serverCall, serverCall.startedAt.plus(setup.callTimeout()));
+        } else if (message instanceof CancelAttempt received) {
+            ServerCall serverCall = findAttempt(received.request(), received.attempt());
+            if (serverCall != null) {
+                terminate(serverCall, Outcome.CANCELLED);
             }
-        } else if (m instanceof Cut e) {
-            ServerCall work = out(e.request(), e.number());
-            if (work != null && work.connection != null) {
-                work.connection.readOut(() -> tell(new Stop(e.request(), e.number())));
+        } else if (message instanceof CancelAfterPendingInput received) {
+            ServerCall serverCall = findAttempt(received.request(), received.attempt());
+            if (serverCall != null && serverCall.connection != null) {
+                serverCall.connection.readOut(() -> tell(new CancelAttempt(received.request(), received.attempt())));
             }
-        } else if (m instanceof Proceed e) {
-            ServerCall work = out(e.request(), e.number());
-            if (work != null) {
-                proceed(work);
+        } else if (message instanceof Proceed received) {
+            ServerCall serverCall = findAttempt(received.request(), received.attempt());
+            if (serverCall != null) {
+                onStreamAccepted(serverCall);
             }
-        } else if (m instanceof AskArrival e) {
-            ServerCall work = out(e.request(), e.number());
-            if (work != null) {
-                boolean shown = answered.proveArrival(work);
-                setup.module().tellFirst(new ModuleActor.ArrivalShown(e.request(), e.number(), shown));
+        } else if (message instanceof CheckArrival received) {
+            ServerCall serverCall = findAttempt(received.request(), received.attempt());
+            if (serverCall != null) {
+                boolean arrivalShown = answeredConnections.isArrivalProven(serverCall);
+                setup.module()
+                        .tellUrgent(
+                                new ModuleActor.ArrivalStatus(received.request(), received.attempt(), arrivalShown));
             }
-        } else if (m instanceof Up e) {
-            up(e.work(), e.connection());
-        } else if (m instanceof NotUp e && e.work().connection == null && e.connect() == e.work().connects) {
-            expired(e.work());
-        } else if (m instanceof Closed e) {
-            closed(e.connection());
-        } else if (m instanceof Answered e) {
-            note(Recorder.What.WORD, e.work(), e.word().name(), null);
-            answered.answered(e.work());
-            e.work().word = e.word();
-            e.work().report = e.report();
-            if (e.word() != Word.STREAM) {
-                endBy(e.work(), SHORT_ANSWER);
+        } else if (message instanceof Connected received) {
+            onConnected(received.serverCall(), received.connection());
+        } else if (message instanceof ConnectFailed received
+                && received.serverCall().connection == null
+                && received.connectNumber() == received.serverCall().connectCount) {
+            onExpired(received.serverCall());
+        } else if (message instanceof ConnectionClosed received) {
+            onConnectionClosed(received.connection());
+        } else if (message instanceof AnswerClassified received) {
+            recordStep(
+                    Recorder.EventType.WORD,
+                    received.serverCall(),
+                    received.kind().name(),
+                    null);
+            answeredConnections.callAnswered(received.serverCall());
+            received.serverCall().answerKind = received.kind();
+            received.serverCall().report = received.report();
+            if (received.kind() != AnswerKind.STREAM) {
+                limitRemainingTime(received.serverCall(), SHORT_ANSWER_TIMEOUT);
             }
-        } else if (m instanceof Event e) {
-            event(e.work(), e.raw());
-        } else if (m instanceof Ended e) {
-            e.work().kept = e.kept();
-            e.work().ended = e.at();
-            if (!Double.isNaN(e.kept())) {
-                note(Recorder.What.WORD, e.work(), "kept " + (long) e.kept(), null);
+        } else if (message instanceof StreamEvent received) {
+            onEvent(received.serverCall(), received.eventBytes());
+        } else if (message instanceof CallCompleted received) {
+            received.serverCall().keptTokens = received.keptTokens();
+            received.serverCall().endedAt = received.endedAt();
+            if (!Double.isNaN(received.keptTokens())) {
+                recordStep(
+                        Recorder.EventType.WORD, received.serverCall(), "kept " + (long) received.keptTokens(), null);
             }
-            ended(e.work(), e.reusable());
-        } else if (m instanceof Broken e) {
-            e.work().ended = e.at();
-            broken(e.work(), e.written());
-        } else if (m instanceof Expired e) {
-            expired(e.work());
-        } else if (m instanceof SilenceCheck e) {
-            checkSilence(e.work());
-        } else if (m instanceof ResetCheck e) {
-            awaitReset(e.work(), e.outcome(), e.looks());
-        } else if (m instanceof IdleCheck) {
-            tidy();
-        } else if (m instanceof SendLastByte e
-                && !e.work().done
-                && e.work().connection == e.on()
-                && !unwanted(e.work(), false)) {
-            e.on().let();
+            onCompleted(received.serverCall(), received.reusable());
+        } else if (message instanceof CallBroken received) {
+            received.serverCall().endedAt = received.endedAt();
+            onBroken(received.serverCall(), received.lastByteMayHaveLeft());
+        } else if (message instanceof CallExpired received) {
+            onExpired(received.serverCall());
+        } else if (message instanceof StallCheck received) {
+            checkStall(received.serverCall());
+        } else if (message instanceof ResetCheck received) {
+            awaitReset(received.serverCall(), received.outcome(), received.checks());
+        } else if (message instanceof IdleCheck) {
+            closeStaleConnections();
+        } else if (message instanceof SendLastByte received
+                && !received.serverCall().done
+                && received.serverCall().connection == received.connection()
+                && !terminateIfNotSendable(received.serverCall(), false)) {
+            received.connection().sendLastByte();
         }
     }
 
-    private ServerCall out(long request, int number) {
-        ServerCall work = attempts.get(request);
-        return work == null || work.send().number() != number ? null : work;
+    private ServerCall findAttempt(long request, int attempt) {
+        ServerCall serverCall = attempts.get(request);
+        return serverCall == null || serverCall.sendCommand().attempt() != attempt ? null : serverCall;
     }
 
     // ---- connections ---------------------------------------------------------------------------
 
-    private void begin(ServerCall work, Instant until) {
-        work.until = until;
-        work.expiry = tellLater(Duration.between(work.began, until), new Expired(work));
-        if (unwanted(work, true)) {
+    private void startCall(ServerCall serverCall, Instant expiresAt) {
+        serverCall.expiresAt = expiresAt;
+        serverCall.expiryTimer =
+                tellLater(Duration.between(serverCall.startedAt, expiresAt), new CallExpired(serverCall));
+        if (terminateIfNotSendable(serverCall, true)) {
             return;
         }
-        // a request written on a kept connection while the server closes it may or may not have run: there is no way to tell
-        boolean fresh = work.send() != null && work.send().once();
-        IdleConnections.Idle kept = fresh ? null : idle.take();
-        if (kept == null) {
-            connect(work);
+        // a request written on a kept connection while the server closes it may or may not have run: there is no way to
+        // tell
+        boolean needsNewConnection =
+                serverCall.sendCommand() != null && serverCall.sendCommand().atMostOnce();
+        IdleConnections.IdleConnection idleConnection = needsNewConnection ? null : idleConnections.takeReusable();
+        if (idleConnection == null) {
+            connect(serverCall);
             return;
         }
-        work.reused = true;
-        note(
-                Recorder.What.CONNECTION,
-                work,
+        serverCall.connectionReused = true;
+        recordStep(
+                Recorder.EventType.CONNECTION,
+                serverCall,
                 "kept",
-                Duration.between(kept.since(), setup.clock().instant()));
-        use(work, kept.connection());
+                Duration.between(idleConnection.idleSince(), setup.clock().instant()));
+        dispatch(serverCall, idleConnection.connection());
     }
 
     /** Bounds the rest of an answer, so that one that never ends doesn't occupy its call until the client's deadline. */
-    private void endBy(ServerCall work, Duration within) {
-        Duration left = Duration.between(setup.clock().instant(), work.until);
-        if (!work.done && within.compareTo(left) < 0) {
-            work.expiry.cancel(false);
-            work.expiry = tellLater(within, new Expired(work));
+    private void limitRemainingTime(ServerCall serverCall, Duration limit) {
+        Duration remaining = Duration.between(setup.clock().instant(), serverCall.expiresAt);
+        if (!serverCall.done && limit.compareTo(remaining) < 0) {
+            serverCall.expiryTimer.cancel(false);
+            serverCall.expiryTimer = tellLater(limit, new CallExpired(serverCall));
         }
     }
 
-    private void connect(ServerCall work) {
-        work.reused = false;
-        work.ended = null;
-        // own timer: HttpCore checks its timeouts only at intervals, so that a connect timeout of 250 ms took up to 600 ms,
+    private void connect(ServerCall serverCall) {
+        serverCall.connectionReused = false;
+        serverCall.endedAt = null;
+        // own timer: HttpCore checks its timeouts only at intervals, so that a connect timeout of 250 ms took up to 600
+        // ms,
         // while a read state stays held
         Instant now = setup.clock().instant();
-        int connect = ++work.connects;
-        tellLater(Duration.between(now, work.upBy(now.plus(setup.connectTimeout()))), new NotUp(work, connect));
-        setup.connector().connect(address, setup.connectTimeout(), new Connector.Watcher() {
+        int connectNumber = ++serverCall.connectCount;
+        tellLater(
+                Duration.between(now, serverCall.connectDeadline(now.plus(setup.connectTimeout()))),
+                new ConnectFailed(serverCall, connectNumber));
+        setup.connector().connect(address, setup.connectTimeout(), new Connector.ConnectionListener() {
             @Override
-            public void up(Connection connection) {
-                tell(work.order instanceof Release, new Up(work, connection));
+            public void connected(Connection connection) {
+                tell(serverCall.command instanceof Release, new Connected(serverCall, connection));
             }
 
             @Override
-            public void failed() {
-                tell(work.order instanceof Release, new NotUp(work, connect));
+            public void connectFailed() {
+                tell(serverCall.command instanceof Release, new ConnectFailed(serverCall, connectNumber));
             }
 
             @Override
             public void closed(Connection connection) {
-                tell(new Closed(connection));
+                tell(new ConnectionClosed(connection));
             }
         });
     }
 
-    private void up(ServerCall work, Connection connection) {
-        answered.opened(connection);
-        if (work.done || unwanted(work, true)) {
-            keep(connection);
+    private void onConnected(ServerCall serverCall, Connection connection) {
+        answeredConnections.connectionOpened(connection);
+        if (serverCall.done || terminateIfNotSendable(serverCall, true)) {
+            returnToIdle(connection);
         } else {
-            note(Recorder.What.CONNECTION, work, "new", since(work));
-            use(work, connection);
+            recordStep(Recorder.EventType.CONNECTION, serverCall, "new", elapsed(serverCall));
+            dispatch(serverCall, connection);
         }
     }
 
@@ -351,18 +371,19 @@
      *
      * @return whether the attempt was terminated
      */
-    private boolean unwanted(ServerCall work, boolean first) {
-        boolean closed = first && drains;
+    private boolean terminateIfNotSendable(ServerCall serverCall, boolean beforeFirstByte) {
+        boolean blockedByDrain = beforeFirstByte && draining;
         Instant now = setup.clock().instant();
-        if (work.send() == null || !closed && work.send().wanted(now)) {
+        if (serverCall.sendCommand() == null
+                || !blockedByDrain && serverCall.sendCommand().maySend(now)) {
             return false;
         }
-        boolean repeatsOver = now.isAfter(work.send().latest());
-        finish(
-                work,
-                work.send().ended()
+        boolean sendTimeOver = now.isAfter(serverCall.sendCommand().sendBy());
+        terminate(
+                serverCall,
+                serverCall.sendCommand().isAbandoned()
                         ? Outcome.CANCELLED
-                        : repeatsOver && !closed ? Outcome.NOT_SENT : Outcome.CONNECT_FAILED);
+                        : sendTimeOver && !blockedByDrain ? Outcome.NOT_SENT : Outcome.CONNECT_FAILED);
         return true;
     }
 
@@ -372,133 +393,142 @@
      * the message that says so may still be unread on the same reactor. The transport then breaks the connection, and the
      * attempt is checked again when that is reported here.
      */
-    private BooleanSupplier mayBegin(Instant since) {
-        return () -> !drains && !setup.clock().instant().isAfter(since.plus(MOST_ON_THE_WAY));
+    private BooleanSupplier headCheck(Instant dispatchedAt) {
+        return () -> !draining && !setup.clock().instant().isAfter(dispatchedAt.plus(MAX_DISPATCH_DELAY));
     }
 
-    private void note(Recorder.What what, ServerCall work, String text, Duration span) {
-        if (work.order instanceof Send s) {
-            setup.recorder().note(what, s.request(), s.number(), id, text, span);
+    private void recordStep(Recorder.EventType event, ServerCall serverCall, String text, Duration duration) {
+        if (serverCall.command instanceof Send send) {
+            setup.recorder().note(event, send.request(), send.attempt(), id, text, duration);
         }
     }
 
-    private void use(ServerCall work, Connection connection) {
-        work.connection = connection;
-        work.written = setup.clock().instant();
-        // the end of a lease depends on reads and releases, so their messages must not queue behind the events of many streams
-        boolean first = work.order instanceof Release
-                || work.send() != null && work.send().reads();
-        Connector.Call call;
-        if (work.order instanceof Send s) {
-            call = new Connector.AttemptCall(
-                    s.ask(),
-                    s.reads(),
-                    () -> Duration.between(setup.clock().instant(), s.until()),
-                    s.once() || work.reused,
-                    mayBegin(work.written),
-                    () -> s.wanted(setup.clock().instant()));
-        } else if (work.order instanceof Release r) {
-            call = new Connector.ReleaseCall(r.id());
+    private void dispatch(ServerCall serverCall, Connection connection) {
+        serverCall.connection = connection;
+        serverCall.dispatchedAt = setup.clock().instant();
+        // the end of a lease depends on reads and releases, so their messages must not queue behind the events of many
+        // streams
+        boolean urgent = serverCall.command instanceof Release
+                || serverCall.sendCommand() != null && serverCall.sendCommand().reads();
+        Connector.Call outgoingCall;
+        if (serverCall.command instanceof Send send) {
+            outgoingCall = new Connector.AttemptCall(
+                    send.spec(),
+                    send.reads(),
+                    () -> Duration.between(setup.clock().instant(), send.expiresAt()),
+                    send.atMostOnce() || serverCall.connectionReused,
+                    headCheck(serverCall.dispatchedAt),
+                    () -> send.maySend(setup.clock().instant()));
+        } else if (serverCall.command instanceof Release release) {
+            outgoingCall = new Connector.ReleaseCall(release.requestId());
         } else {
-            call = new Connector.ProbeCall();
+            outgoingCall = new Connector.ProbeCall();
         }
-        connection.call(call, new Connector.Listener() {
+        connection.call(outgoingCall, new Connector.CallListener() {
             @Override
             public void sent() {
-                if (work.order instanceof Send s) {
-                    setup.metrics().sent(s.ask().requestClass());
+                if (serverCall.command instanceof Send send) {
+                    setup.metrics().attemptSent(send.spec().requestClass());
                 }
             }
 
             @Override
-            public void held() {
-                tellLater(HOLD, new SendLastByte(work, connection));
+            public void lastByteHeld() {
+                tellLater(LAST_BYTE_HOLD, new SendLastByte(serverCall, connection));
             }
 
             @Override
-            public void word(Word word, Report report) {
-                tell(first, new Answered(work, word, report));
+            public void answerClassified(AnswerKind kind, Report report) {
+                tell(urgent, new AnswerClassified(serverCall, kind, report));
             }
 
             @Override
-            public void event(byte[] raw) {
-                tell(first, new Event(work, raw));
+            public void event(byte[] eventBytes) {
+                tell(urgent, new StreamEvent(serverCall, eventBytes));
             }
 
             @Override
-            public void end(boolean reusable, double kept) {
-                tell(first, new Ended(work, reusable, kept, setup.clock().instant()));
+            public void end(boolean reusable, double keptTokens) {
+                tell(
+                        urgent,
+                        new CallCompleted(
+                                serverCall, reusable, keptTokens, setup.clock().instant()));
             }
 
             @Override
-            public void broken(boolean written) {
-                tell(first, new Broken(work, written, setup.clock().instant()));
+            public void broken(boolean lastByteMayHaveLeft) {
+                tell(
+                        urgent,
+                        new CallBroken(
+                                serverCall, lastByteMayHaveLeft, setup.clock().instant()));
             }
         });
     }
 
-    private void keep(Connection connection) {
-        if (drains || !connection.isOpen()) {
+    private void returnToIdle(Connection connection) {
+        if (draining || !connection.isOpen()) {
             connection.close();
             return;
         }
-        idle.add(connection);
-        if (tidying == null) {
-            tidying = tellLater(idle.lifetime(), new IdleCheck());
+        idleConnections.add(connection);
+        if (idleCheckTimer == null) {
+            idleCheckTimer = tellLater(idleConnections.lifetime(), new IdleCheck());
         }
     }
 
-    private void tidy() {
-        idle.closeStale();
-        tidying = idle.isEmpty() ? null : tellLater(idle.lifetime().dividedBy(4), new IdleCheck());
+    private void closeStaleConnections() {
+        idleConnections.closeStale();
+        idleCheckTimer = idleConnections.isEmpty()
+                ? null
+                : tellLater(idleConnections.lifetime().dividedBy(4), new IdleCheck());
     }
 
-    private void closed(Connection connection) {
-        answered.closed(connection);
-        if (idle.closed(connection)) {
-            if (tidying != null) {
-                tidying.cancel(false);
+    private void onConnectionClosed(Connection connection) {
+        answeredConnections.connectionClosed(connection);
+        if (idleConnections.removeClosed(connection)) {
+            if (idleCheckTimer != null) {
+                idleCheckTimer.cancel(false);
             }
-            tidying = tellLater(idle.lifetime(), new IdleCheck());
+            idleCheckTimer = tellLater(idleConnections.lifetime(), new IdleCheck());
         }
     }
 
     // ---- answers -------------------------------------------------------------------------------
 
-    private void event(ServerCall work, byte[] raw) {
-        if (work.done || work.send() == null) {
+    private void onEvent(ServerCall serverCall, byte[] eventBytes) {
+        if (serverCall.done || serverCall.sendCommand() == null) {
             return;
         }
-        work.heard = setup.clock().instant();
-        if (work.proceeding) {
-            pass(work, raw);
-        } else if (work.offered) {
-            work.held.add(raw);
-        } else if (work.word == Word.STREAM) {
-            work.offered = true;
+        serverCall.lastEventAt = setup.clock().instant();
+        if (serverCall.streamAccepted) {
+            forwardEvent(serverCall, eventBytes);
+        } else if (serverCall.firstEventReported) {
+            serverCall.pendingEvents.add(eventBytes);
+        } else if (serverCall.answerKind == AnswerKind.STREAM) {
+            serverCall.firstEventReported = true;
             // urgent: queued behind many new requests it would reach its client late
             setup.module()
-                    .tellFirst(new ModuleActor.FirstEvent(
-                            work.send().request(),
-                            work.send().number(),
+                    .tellUrgent(new ModuleActor.FirstEvent(
+                            serverCall.sendCommand().request(),
+                            serverCall.sendCommand().attempt(),
                             id,
-                            raw,
-                            since(work),
-                            work.granting(raw),
+                            eventBytes,
+                            elapsed(serverCall),
+                            serverCall.windowGrant(eventBytes),
                             this));
         }
     }
 
-    private void proceed(ServerCall work) {
-        work.proceeding = true;
-        while (!work.held.isEmpty() && !work.done) {
-            pass(work, work.held.poll());
+    private void onStreamAccepted(ServerCall serverCall) {
+        serverCall.streamAccepted = true;
+        while (!serverCall.pendingEvents.isEmpty() && !serverCall.done) {
+            forwardEvent(serverCall, serverCall.pendingEvents.poll());
         }
-        if (!work.done && (work.whole || work.cut)) {
-            settle(work, work.whole ? Outcome.OK : Outcome.RESET);
+        if (!serverCall.done && (serverCall.completedBeforeAccepted || serverCall.brokenBeforeAccepted)) {
+            reportOutcome(serverCall, serverCall.completedBeforeAccepted ? Outcome.OK : Outcome.RESET);
         }
-        if (!work.done) {
-            tellLater(SILENCE, new SilenceCheck(work));
+        if (!serverCall.done) {
+            tellLater(STREAM_STALL_TIMEOUT, new StallCheck(serverCall));
         }
     }
 
@@ -506,79 +536,83 @@
      * Ends a stream that stalls while its connection stays open, as when the server miscounts the bytes of a chunk; its
      * client would wait forever. A stream that pauses because its client doesn't read (flow control) is not a stall.
      */
-    private void checkSilence(ServerCall work) {
-        if (work.done) {
+    private void checkStall(ServerCall serverCall) {
+        if (serverCall.done) {
             return;
         }
-        Duration silent = Duration.between(work.heard, setup.clock().instant());
-        if (work.connection != null && work.connection.heldBack()) {
-            work.heard = setup.clock().instant();
-            tellLater(SILENCE, new SilenceCheck(work));
-        } else if (silent.compareTo(SILENCE) < 0) {
-            tellLater(SILENCE.minus(silent), new SilenceCheck(work));
+        Duration silentFor =
+                Duration.between(serverCall.lastEventAt, setup.clock().instant());
+        if (serverCall.connection != null && serverCall.connection.isReceiveWindowFull()) {
+            serverCall.lastEventAt = setup.clock().instant();
+            tellLater(STREAM_STALL_TIMEOUT, new StallCheck(serverCall));
+        } else if (silentFor.compareTo(STREAM_STALL_TIMEOUT) < 0) {
+            tellLater(STREAM_STALL_TIMEOUT.minus(silentFor), new StallCheck(serverCall));
         } else {
-            finish(work, Outcome.RESET);
+            terminate(serverCall, Outcome.RESET);
         }
     }
 
-    private void pass(ServerCall work, byte[] raw) {
-        if (!work.send().answer().event(raw, work.granting(raw))) {
-            finish(work, Outcome.RESET);
+    private void forwardEvent(ServerCall serverCall, byte[] eventBytes) {
+        if (!serverCall.sendCommand().response().event(eventBytes, serverCall.windowGrant(eventBytes))) {
+            terminate(serverCall, Outcome.RESET);
         }
     }
 
-    private void ended(ServerCall work, boolean reusable) {
-        if (work.done) {
+    private void onCompleted(ServerCall serverCall, boolean reusable) {
+        if (serverCall.done) {
             return;
         }
-        Connection connection = work.connection;
+        Connection connection = serverCall.connection;
         if (reusable) {
-            keep(connection);
+            returnToIdle(connection);
         } else {
             connection.close();
         }
-        work.connection = null;
-        if (work.offered && !work.proceeding) {
-            work.whole = true;
+        serverCall.connection = null;
+        if (serverCall.firstEventReported && !serverCall.streamAccepted) {
+            serverCall.completedBeforeAccepted = true;
             return;
         }
-        settle(work, work.answered());
+        reportOutcome(serverCall, serverCall.outcomeOfCompleteAnswer());
     }
 
-    private void broken(ServerCall work, boolean lastByteLeft) {
-        if (work.done) {
+    private void onBroken(ServerCall serverCall, boolean lastByteMayHaveLeft) {
+        if (serverCall.done) {
             return;
         }
-        // a server that answered before the last byte was sent may have run something, and a second answer must not follow
+        // a server that answered before the last byte was sent may have run something, and a second answer must not
+        // follow
         // the first
-        boolean written = lastByteLeft || work.word != null;
-        note(Recorder.What.WORD, work, written ? "BROKEN" : "BROKEN before the last byte", null);
-        if (!written && unwanted(work, true)) {
+        boolean mayHaveRun = lastByteMayHaveLeft || serverCall.answerKind != null;
+        recordStep(Recorder.EventType.WORD, serverCall, mayHaveRun ? "BROKEN" : "BROKEN before the last byte", null);
+        if (!mayHaveRun && terminateIfNotSendable(serverCall, true)) {
             return;
         }
-        if (!written && (work.reused || ++work.unsent < MOST_UNSENT)) {
+        if (!mayHaveRun && (serverCall.connectionReused || ++serverCall.unsentCount < MAX_NEW_CONNECTIONS_PER_CALL)) {
             // the connection ended before the last byte was sent: nothing ran, so a new connection may be tried
-            work.connection = null;
-            connect(work);
-        } else if (work.offered && !work.proceeding) {
-            work.cut = true;
-        } else if (written && work.reused && work.word == null) {
-            idle.closeAll(); // the server's other idle connections may be dead as well
-            finish(work, Outcome.STALE);
-        } else if (work.refused()) {
-            finish(work, Outcome.FULL);
+            serverCall.connection = null;
+            connect(serverCall);
+        } else if (serverCall.firstEventReported && !serverCall.streamAccepted) {
+            serverCall.brokenBeforeAccepted = true;
+        } else if (mayHaveRun && serverCall.connectionReused && serverCall.answerKind == null) {
+            idleConnections.closeAll(); // the server's other idle connections may be dead as well
+            terminate(serverCall, Outcome.STALE);
+        } else if (serverCall.refused()) {
+            terminate(serverCall, Outcome.FULL);
         } else {
-            finish(work, written ? Outcome.RESET : Outcome.CONNECT_FAILED);
+            terminate(serverCall, mayHaveRun ? Outcome.RESET : Outcome.CONNECT_FAILED);
         }
     }
 
-    private void expired(ServerCall work) {
-        if (work.done || work.offered) {
+    private void onExpired(ServerCall serverCall) {
+        if (serverCall.done || serverCall.firstEventReported) {
             return;
         }
         // without a connection, nothing can have run
-        Outcome silent = work.connection == null ? Outcome.CONNECT_FAILED : Outcome.TIMED_OUT;
-        finish(work, work.refused() ? Outcome.FULL : work.word == null ? silent : Outcome.ERROR);
+        Outcome noAnswerOutcome = serverCall.connection == null ? Outcome.CONNECT_FAILED : Outcome.TIMED_OUT;
+        terminate(
+                serverCall,
+                serverCall.refused() ? Outcome.FULL : serverCall.answerKind == null ? noAnswerOutcome : Outcome.ERROR);
     }
 
     /**
@@ -586,61 +620,62 @@
      * TCP reset: after an ordinary close the kernel would go on delivering the buffered request, even to a server that reads
      * late or can't be reached for a while.
      */
-    private void finish(ServerCall work, Outcome outcome) {
-        if (work.done) {
+    private void terminate(ServerCall serverCall, Outcome outcome) {
+        if (serverCall.done) {
             return;
         }
-        if (work.connection == null || work.word != null || work.send() == null) {
-            if (work.connection != null) {
-                work.connection.close();
+        if (serverCall.connection == null || serverCall.answerKind != null || serverCall.sendCommand() == null) {
+            if (serverCall.connection != null) {
+                serverCall.connection.close();
             }
-            settle(work, outcome);
+            reportOutcome(serverCall, outcome);
             return;
         }
-        work.done = true;
-        work.expiry.cancel(false);
-        work.ended = setup.clock().instant();
-        work.connection.abort();
-        awaitReset(work, outcome, 0);
+        serverCall.done = true;
+        serverCall.expiryTimer.cancel(false);
+        serverCall.endedAt = setup.clock().instant();
+        serverCall.connection.abort();
+        awaitReset(serverCall, outcome, 0);
     }
 
     /** Reports the outcome once the reset was sent: the client's answer or the next attempt must not overtake it. */
-    private void awaitReset(ServerCall work, Outcome outcome, int looks) {
-        if (work.connection.released() || looks >= MOST_RESET_LOOKS) {
-            settle(work, outcome);
+    private void awaitReset(ServerCall serverCall, Outcome outcome, int checks) {
+        if (serverCall.connection.released() || checks >= MAX_RESET_CHECKS) {
+            reportOutcome(serverCall, outcome);
         } else {
-            tellFirstLater(RESET_LOOK, new ResetCheck(work, outcome, looks + 1));
+            tellUrgentLater(RESET_CHECK_INTERVAL, new ResetCheck(serverCall, outcome, checks + 1));
         }
     }
 
-    private Duration since(ServerCall work) {
-        return Duration.between(work.began, setup.clock().instant());
+    private Duration elapsed(ServerCall serverCall) {
+        return Duration.between(serverCall.startedAt, setup.clock().instant());
     }
 
-    private void settle(ServerCall work, Outcome outcome) {
-        work.done = true;
-        work.held.clear();
-        work.expiry.cancel(false); // else the timer would keep the request's body in memory until it fires
-        if (work.order instanceof Send s) {
-            attempts.remove(s.request(), work);
-            // urgent: queued behind many new requests, the end of a stream would come late and a read state would be held
+    private void reportOutcome(ServerCall serverCall, Outcome outcome) {
+        serverCall.done = true;
+        serverCall.pendingEvents.clear();
+        serverCall.expiryTimer.cancel(false); // else the timer would keep the request's body in memory until it fires
+        if (serverCall.command instanceof Send send) {
+            attempts.remove(send.request(), serverCall);
+            // urgent: queued behind many new requests, the end of a stream would come late and a read state would be
+            // held
             // too long; urgent messages keep their order, so the first event of an attempt still comes before its end
             setup.module()
-                    .tellFirst(new ModuleActor.Ended(
-                            s.request(),
-                            s.number(),
+                    .tellUrgent(new ModuleActor.AttemptFinished(
+                            send.request(),
+                            send.attempt(),
                             id,
                             outcome,
-                            since(work),
-                            work.word == Word.STATE_MISSING,
-                            work.report,
-                            work.kept,
-                            work.connection != null || work.ended != null,
-                            work.ended == null ? setup.clock().instant() : work.ended));
-        } else if (work.order instanceof Release r) {
-            setup.releases().tell(new ReleaseActor.Tried(r.ticket(), id, outcome == Outcome.OK));
+                            elapsed(serverCall),
+                            serverCall.answerKind == AnswerKind.STATE_MISSING,
+                            serverCall.report,
+                            serverCall.keptTokens,
+                            serverCall.connection != null || serverCall.endedAt != null,
+                            serverCall.endedAt == null ? setup.clock().instant() : serverCall.endedAt));
+        } else if (serverCall.command instanceof Release release) {
+            setup.releases().tell(new ReleaseActor.ReleaseTried(release.ticket(), id, outcome == Outcome.OK));
         } else {
-            setup.module().tellFirst(new ModuleActor.ProbeDone(id, outcome, since(work), work.report));
+            setup.module().tellUrgent(new ModuleActor.ProbeDone(id, outcome, elapsed(serverCall), serverCall.report));
         }
     }
 }
--- a/src/main/java/copperbeam/routing/Recorder.java
+++ b/src/main/java/copperbeam/routing/Recorder.java
@@ -5,7 +5,7 @@
 /** Records what happens to requests. Called on the actors' thread only; must take bounded time and neither block nor throw. */
 public interface Recorder {
     /** Type of a recorded event; the recording's format describes which fields each type uses. */
-    enum What {
+    enum EventType {
         ARRIVED,
         ATTEMPT,
         CONNECTION,
@@ -33,5 +33,5 @@
      * @param request key of the request, 0 for none
      * @param server null for none, as are {@code text} and {@code duration}
      */
-    void note(What what, long request, int attempt, String server, String text, Duration span);
+    void note(EventType type, long request, int attempt, String server, String text, Duration duration);
 }
--- a/src/main/java/copperbeam/routing/ReleaseActor.java
+++ b/src/main/java/copperbeam/routing/ReleaseActor.java
@@ -19,211 +19,231 @@
  */
 public final class ReleaseActor extends Actor<ReleaseActor.Message> {
     /** Messages of this actor. */
-    public sealed interface Message permits Listed, Release, Taken, Tried, Hedge, Again, Drain {}
+    public sealed interface Message
+            permits ServersListed, Release, AttemptStarted, ReleaseTried, Hedge, Repeat, Drain {}
 
     /** The servers that can be asked now, by id. */
-    public record Listed(Map<String, PeerActor> peers) implements Message {}
+    public record ServersListed(Map<String, PeerActor> peers) implements Message {}
 
     /**
      * Releases the read state of the request with this id. {@code preferredServer}: the server asked first, or null.
      * {@code readMayEndUntil}: null, or the time until which an interrupted read at that server may still succeed; until then the
      * release is repeated, but only once more after that server itself has confirmed it.
      */
-    public record Release(String id, String first, Instant until) implements Message {}
+    public record Release(String requestId, String preferredServer, Instant readMayEndUntil) implements Message {}
 
     /** A new attempt of the request is in flight: stops the repeats; states that interrupted reads leave are released after it. */
-    public record Taken(String id) implements Message {}
+    public record AttemptStarted(String requestId) implements Message {}
 
     /** Result of asking one server for a release; {@code confirmed}: the server confirmed it. */
-    public record Tried(long ticket, String at, boolean heard) implements Message {}
+    public record ReleaseTried(long ticket, String server, boolean confirmed) implements Message {}
 
     /** Runs {@code onIdle} as soon as no release is pending; overdue releases are abandoned. */
-    public record Drain(Runnable idle) implements Message {}
+    public record Drain(Runnable onIdle) implements Message {}
 
-    private record Hedge(long ticket, int step) implements Message {}
+    private record Hedge(long ticket, int round) implements Message {}
 
-    private record Again(long ticket) implements Message {}
+    private record Repeat(long ticket) implements Message {}
 
-    private static final Duration HEDGE = Duration.ofMillis(120); // longest time without an answer until more servers are asked
+    private static final Duration MAX_HEDGE_DELAY =
+            Duration.ofMillis(120); // longest time without an answer until more servers are asked
     // delay of the last repeat: the preferred server may have confirmed just before its interrupted read succeeded
-    private static final Duration AGAIN = Duration.ofMillis(250);
-    private static final int WIDER = 4; // growth of the number of servers asked, after each hedge delay
-    private static final int MOST_AT_ONCE = 1024; // servers asked in one round
-    private static final int MOST_AGAIN = 8; // the same once all servers have been asked, as when none is reachable
-    // once overdue, an unconfirmed release is tried for this many times the usual time, to outlast an outage or a partition
-    private static final int OUTLASTS = 16;
-
-    private static final class Open {
-        final String id;
-        final String first;
-        Instant until;
-        Instant giveUp;
-        boolean resting; // this round is done, the next one is scheduled
-        boolean heard; // by any server, in any round
-        boolean heardFirst; // by the server that may still hold a state
-        final Instant askedAt;
+    private static final Duration LAST_REPEAT_DELAY = Duration.ofMillis(250);
+    private static final int FANOUT_FACTOR = 4; // growth of the number of servers asked, after each hedge delay
+    private static final int MAX_FANOUT = 1024; // servers asked in one round
+    private static final int MAX_REPEAT_FANOUT =
+            8; // the same once all servers have been asked, as when none is reachable
+    // once overdue, an unconfirmed release is tried for this many times the usual time, to outlast an outage or a
+    // partition
+    private static final int GIVE_UP_FACTOR = 16;
+
+    private static final class PendingRelease {
+        final String requestId;
+        final String preferredServer;
+        Instant readMayEndUntil;
+        Instant overdueAt;
+        boolean awaitsRepeat; // this round is done, the next one is scheduled
+        boolean confirmed; // by any server, in any round
+        boolean confirmedByPreferred; // by the server that may still hold a state
+        final Instant startedAt;
         final Set<String> tried = new HashSet<>();
-        final Set<String> out = new HashSet<>();
-        int step;
-        int width = 1;
-        int most;
-        boolean late; // not confirmed within the usual time: servers are asked one at a time
-
-        Open(Release order, Instant askedAt) {
-            this.askedAt = askedAt;
-            id = order.id();
-            first = order.first();
-            until = order.until();
+        final Set<String> unanswered = new HashSet<>();
+        int round;
+        int fanout = 1;
+        int maxFanout;
+        boolean overdue; // not confirmed within the usual time: servers are asked one at a time
+
+        PendingRelease(Release release, Instant startedAt) {
+            this.startedAt = startedAt;
+            requestId = release.requestId();
+            preferredServer = release.preferredServer();
+            readMayEndUntil = release.readMayEndUntil();
         }
     }
 
     private final Clock clock;
-    private final RequestLog log;
-    private final Duration within;
-    private final Duration hedge;
-    private final Map<Long, Open> open = new HashMap<>();
-    private final Set<String> heardFrom = new HashSet<>();
+    private final RequestLog requestLog;
+    private final Duration tryDuration;
+    private final Duration hedgeDelay;
+    private final Map<Long, PendingRelease> pending = new HashMap<>();
+    private final Set<String> responsive = new HashSet<>();
     private Map<String, PeerActor> peers = Map.of();
-    private long tickets;
-    private int turn;
-    private Runnable idle;
+    private long lastTicket;
+    private int nextIndex;
+    private Runnable onIdle;
 
     /** {@code tryDuration}: how long a release is usually tried. */
-    public ReleaseActor(ScheduledExecutorService turns, Clock clock, Duration within) {
-        super(turns);
+    public ReleaseActor(ScheduledExecutorService scheduler, Clock clock, Duration tryDuration) {
+        super(scheduler);
         this.clock = clock;
-        log = new RequestLog(clock);
-        this.within = within;
-        // three hedges, after which 85 servers have been asked, fit into the half of release_s that is left for releases
-        Duration share = within.dividedBy(16);
-        hedge = share.compareTo(HEDGE) < 0 ? share : HEDGE;
+        requestLog = new RequestLog(clock);
+        this.tryDuration = tryDuration;
+        // three hedges, after which 85 servers have been asked, fit into the half of release_s that is left for
+        // releases
+        Duration scaledDelay = tryDuration.dividedBy(16);
+        hedgeDelay = scaledDelay.compareTo(MAX_HEDGE_DELAY) < 0 ? scaledDelay : MAX_HEDGE_DELAY;
     }
 
     @Override
-    protected void receive(Message m) {
-        if (m instanceof Listed e) {
-            peers = e.peers();
-            heardFrom.retainAll(peers.keySet());
-        } else if (m instanceof Release e) {
-            open.values().removeIf(o -> o.id.equals(e.id()) && Objects.equals(o.first, e.first())); // replaced by the new one
-            open.put(++tickets, new Open(e, clock.instant()));
-            begin(tickets);
-        } else if (m instanceof Taken e) {
-            open.values().removeIf(o -> o.id.equals(e.id()) && o.resting);
-            open.values().stream().filter(o -> o.id.equals(e.id())).forEach(o -> o.until = null);
-        } else if (m instanceof Again e && open.containsKey(e.ticket())) {
-            begin(e.ticket());
-        } else if (m instanceof Tried e) {
-            tried(e);
-        } else if (m instanceof Hedge e) {
-            Open o = open.get(e.ticket());
-            if (o != null && !o.resting && o.step == e.step()) {
-                heardFrom.removeAll(o.out);
-                o.width = Math.min(WIDER * o.width, o.most);
-                ask(e.ticket(), o);
+    protected void receive(Message message) {
+        if (message instanceof ServersListed received) {
+            peers = received.peers();
+            responsive.retainAll(peers.keySet());
+        } else if (message instanceof Release received) {
+            pending.values()
+                    .removeIf(release -> release.requestId.equals(received.requestId())
+                            && Objects.equals(
+                                    release.preferredServer, received.preferredServer())); // replaced by the new one
+            pending.put(++lastTicket, new PendingRelease(received, clock.instant()));
+            startRounds(lastTicket);
+        } else if (message instanceof AttemptStarted received) {
+            pending.values()
+                    .removeIf(release -> release.requestId.equals(received.requestId()) && release.awaitsRepeat);
+            pending.values().stream()
+                    .filter(release -> release.requestId.equals(received.requestId()))
+                    .forEach(release -> release.readMayEndUntil = null);
+        } else if (message instanceof Repeat received && pending.containsKey(received.ticket())) {
+            startRounds(received.ticket());
+        } else if (message instanceof ReleaseTried received) {
+            onReleaseTried(received);
+        } else if (message instanceof Hedge received) {
+            PendingRelease release = pending.get(received.ticket());
+            if (release != null && !release.awaitsRepeat && release.round == received.round()) {
+                responsive.removeAll(release.unanswered);
+                release.fanout = Math.min(FANOUT_FACTOR * release.fanout, release.maxFanout);
+                askServers(received.ticket(), release);
             }
-        } else if (m instanceof Drain e) {
-            idle = e.idle();
-            open.values().removeIf(o -> o.late);
+        } else if (message instanceof Drain received) {
+            onIdle = received.onIdle();
+            pending.values().removeIf(release -> release.overdue);
         }
-        if (idle != null && open.isEmpty()) {
-            idle.run();
-            idle = null;
+        if (onIdle != null && pending.isEmpty()) {
+            onIdle.run();
+            onIdle = null;
         }
     }
 
-    private void begin(long ticket) {
-        Open o = open.get(ticket);
-        o.giveUp = clock.instant().plus(within);
-        o.until = o.heardFirst ? null : o.until;
-        o.resting = false;
-        o.width = 1;
-        o.most = MOST_AT_ONCE;
-        o.tried.clear();
-        o.out.clear();
-        ask(ticket, o);
+    private void startRounds(long ticket) {
+        PendingRelease release = pending.get(ticket);
+        release.overdueAt = clock.instant().plus(tryDuration);
+        release.readMayEndUntil = release.confirmedByPreferred ? null : release.readMayEndUntil;
+        release.awaitsRepeat = false;
+        release.fanout = 1;
+        release.maxFanout = MAX_FANOUT;
+        release.tried.clear();
+        release.unanswered.clear();
+        askServers(ticket, release);
     }
 
-    private void tried(Tried e) {
-        Open o = open.get(e.ticket());
-        if (!e.heard()) {
-            heardFrom.remove(e.at());
-        } else if (peers.containsKey(e.at())) {
-            heardFrom.add(e.at());
+    private void onReleaseTried(ReleaseTried result) {
+        PendingRelease release = pending.get(result.ticket());
+        if (!result.confirmed()) {
+            responsive.remove(result.server());
+        } else if (peers.containsKey(result.server())) {
+            responsive.add(result.server());
         }
-        if (o == null) {
+        if (release == null) {
             return;
         }
-        o.out.remove(e.at());
-        o.heard |= e.heard();
-        o.heardFirst |= e.heard() && e.at().equals(o.first);
-        if (e.heard() && !o.resting) {
-            if (o.tried.size() > 1) {
-                log.note(o.id, "release confirmed by " + e.at() + ", of " + asked(o));
+        release.unanswered.remove(result.server());
+        release.confirmed |= result.confirmed();
+        release.confirmedByPreferred |= result.confirmed() && result.server().equals(release.preferredServer);
+        if (result.confirmed() && !release.awaitsRepeat) {
+            if (release.tried.size() > 1) {
+                requestLog.note(
+                        release.requestId,
+                        "release confirmed by " + result.server() + ", of " + describeAsked(release));
             }
-            over(e.ticket(), o);
+            endRounds(result.ticket(), release);
             // the outage is over: ask again for all other overdue releases
-            new HashMap<>(open).forEach((ticket, other) -> {
-                if (other.late) {
-                    ask(ticket, other);
+            new HashMap<>(pending).forEach((ticket, other) -> {
+                if (other.overdue) {
+                    askServers(ticket, other);
                 }
             });
-        } else if (!o.resting && !o.late && o.out.isEmpty() && !o.tried.containsAll(peers.keySet())) {
-            ask(e.ticket(), o); // once all have failed, wait for the next hedge: refused connections fail at once
+        } else if (!release.awaitsRepeat
+                && !release.overdue
+                && release.unanswered.isEmpty()
+                && !release.tried.containsAll(peers.keySet())) {
+            askServers(
+                    result.ticket(),
+                    release); // once all have failed, wait for the next hedge: refused connections fail at once
         }
     }
 
-    private void ask(long ticket, Open o) {
+    private void askServers(long ticket, PendingRelease release) {
         Instant now = clock.instant();
-        o.late = now.isAfter(o.giveUp);
-        boolean outlasted = now.isAfter(o.giveUp.plus(within.multipliedBy(OUTLASTS)));
-        if (o.late && (o.heard || idle != null || outlasted)) {
-            if (!o.heard) {
-                log.note(o.id, "release abandoned, confirmed by none of " + asked(o));
+        release.overdue = now.isAfter(release.overdueAt);
+        boolean expired = now.isAfter(release.overdueAt.plus(tryDuration.multipliedBy(GIVE_UP_FACTOR)));
+        if (release.overdue && (release.confirmed || onIdle != null || expired)) {
+            if (!release.confirmed) {
+                requestLog.note(release.requestId, "release abandoned, confirmed by none of " + describeAsked(release));
             }
-            over(ticket, o);
+            endRounds(ticket, release);
             return;
         }
-        o.width = o.late ? 1 : o.width;
-        if (o.tried.containsAll(peers.keySet())) {
-            o.tried.clear();
-            o.most = peers.isEmpty() ? o.most : MOST_AGAIN;
-            o.width = Math.min(o.width, o.most);
+        release.fanout = release.overdue ? 1 : release.fanout;
+        if (release.tried.containsAll(peers.keySet())) {
+            release.tried.clear();
+            release.maxFanout = peers.isEmpty() ? release.maxFanout : MAX_REPEAT_FANOUT;
+            release.fanout = Math.min(release.fanout, release.maxFanout);
         }
-        o.step++;
-        for (int i = 0; i < o.width && !o.tried.containsAll(peers.keySet()); i++) {
-            String to = next(o);
-            o.tried.add(to);
-            o.out.add(to);
-            peers.get(to).tellFirst(new PeerActor.Release(ticket, o.id));
+        release.round++;
+        for (int i = 0; i < release.fanout && !release.tried.containsAll(peers.keySet()); i++) {
+            String server = nextServer(release);
+            release.tried.add(server);
+            release.unanswered.add(server);
+            peers.get(server).tellUrgent(new PeerActor.Release(ticket, release.requestId));
         }
-        tellFirstLater(o.late ? within.dividedBy(2) : hedge, new Hedge(ticket, o.step));
+        tellUrgentLater(release.overdue ? tryDuration.dividedBy(2) : hedgeDelay, new Hedge(ticket, release.round));
     }
 
-    private String asked(Open o) {
-        return o.tried.size() + " servers asked in "
-                + Duration.between(o.askedAt, clock.instant()).toMillis() + " ms";
+    private String describeAsked(PendingRelease release) {
+        return release.tried.size() + " servers asked in "
+                + Duration.between(release.startedAt, clock.instant()).toMillis() + " ms";
     }
 
-    private void over(long ticket, Open o) {
-        if (o.until == null || clock.instant().isAfter(o.until)) {
-            open.remove(ticket);
+    private void endRounds(long ticket, PendingRelease release) {
+        if (release.readMayEndUntil == null || clock.instant().isAfter(release.readMayEndUntil)) {
+            pending.remove(ticket);
         } else {
-            o.resting = true;
-            tellLater(o.heardFirst ? AGAIN : within.dividedBy(4), new Again(ticket));
+            release.awaitsRepeat = true;
+            tellLater(release.confirmedByPreferred ? LAST_REPEAT_DELAY : tryDuration.dividedBy(4), new Repeat(ticket));
         }
     }
 
     /** Returns a server not tried yet: the preferred one if possible, else rather one that has confirmed a release before. */
-    private String next(Open o) {
-        if (o.first != null && peers.containsKey(o.first) && !o.tried.contains(o.first)) {
-            return o.first;
+    private String nextServer(PendingRelease release) {
+        if (release.preferredServer != null
+                && peers.containsKey(release.preferredServer)
+                && !release.tried.contains(release.preferredServer)) {
+            return release.preferredServer;
         }
-        List<String> left = new ArrayList<>(peers.keySet());
-        left.removeAll(o.tried);
-        List<String> good = new ArrayList<>(left);
-        good.retainAll(heardFrom);
-        left = good.isEmpty() ? left : good;
-        return left.get(Math.floorMod(turn++, left.size()));
+        List<String> untried = new ArrayList<>(peers.keySet());
+        untried.removeAll(release.tried);
+        List<String> preferred = new ArrayList<>(untried);
+        preferred.retainAll(responsive);
+        untried = preferred.isEmpty() ? untried : preferred;
+        return untried.get(Math.floorMod(nextIndex++, untried.size()));
     }
 }
--- a/src/main/java/copperbeam/routing/RequestHook.java
+++ b/src/main/java/copperbeam/routing/RequestHook.java
@@ -8,12 +8,12 @@
      * {@code retryAfter}: if not null, the request is refused with this advice how long to wait before a retry;
      * {@code requestClass}: if not null, the request's new class.
      */
-    record Verdict(Duration refuseFor, String requestClass) {
+    record Verdict(Duration retryAfter, String requestClass) {
         public static final Verdict PASS = new Verdict(null, null);
     }
 
     String name();
 
     /** Judges a request. An exception is logged, and the request continues unchanged. */
-    Verdict onRequest(Ask ask) throws Exception;
+    Verdict onRequest(RequestSpec spec) throws Exception;
 }
--- a/src/main/java/copperbeam/routing/RequestLog.java
+++ b/src/main/java/copperbeam/routing/RequestLog.java
@@ -12,7 +12,7 @@
 final class RequestLog {
     private static final Logger LOG = Logger.getLogger(RequestLog.class.getName());
     private static final Duration WINDOW = Duration.ofSeconds(1);
-    private static final int MOST_LINES = 50; // per window
+    private static final int MAX_LINES = 50; // per window
 
     private final Clock clock;
     private Instant windowEnd = Instant.MIN;
@@ -23,7 +23,7 @@
     }
 
     /** {@code text}: what happened to the request, and why. */
-    void note(String id, String text) {
+    void note(String requestId, String text) {
         Instant now = clock.instant();
         if (!now.isBefore(windowEnd)) {
             reportOmitted();
@@ -31,14 +31,14 @@
             lines = 0;
         }
         lines++;
-        if (lines <= MOST_LINES) {
-            LOG.info("request " + id + ": " + text);
+        if (lines <= MAX_LINES) {
+            LOG.info("request " + requestId + ": " + text);
         }
     }
 
     private void reportOmitted() {
-        if (lines > MOST_LINES) {
-            LOG.info((lines - MOST_LINES) + " log lines about requests were omitted");
+        if (lines > MAX_LINES) {
+            LOG.info((lines - MAX_LINES) + " log lines about requests were omitted");
         }
     }
 }
--- a/src/main/java/copperbeam/routing/RequestRules.java
+++ b/src/main/java/copperbeam/routing/RequestRules.java
@@ -1,7 +1,7 @@
 package copperbeam.routing;
 
-import copperbeam.Api.Effect;
 import copperbeam.Api.Outcome;
+import copperbeam.Api.Repeats;
 import copperbeam.Api.RequestClass;
 import java.time.Duration;
 import java.time.Instant;
@@ -39,79 +39,79 @@
     static final Duration ANSWER_GRACE = Duration.ofMillis(100);
 
     private final RequestClass requestClass; // null if the settings have no class of this name
-    private final int mostAttempts;
+    private final int maxAttempts;
     private final Instant deadline;
     private int attempts;
-    private boolean out;
-    private boolean writing; // the attempt in flight, or else the last one, is at a writer
-    private Instant written; // start of the last attempt at a writer
-    private Instant ranSince; // start of the first attempt that may have run; null if nothing ran
+    private boolean inFlight;
+    private boolean atWriter; // the attempt in flight, or else the last one, is at a writer
+    private Instant lastWriteStart; // start of the last attempt at a writer
+    private Instant firstRunStart; // start of the first attempt that may have run; null if nothing ran
     private final boolean resumed;
     private boolean ended;
 
     /** {@code resumed}: the client asks for the rest of a stream that has run elsewhere. */
-    RequestRules(RequestClass requestClass, int mostAttempts, Instant deadline, boolean resumed) {
+    RequestRules(RequestClass requestClass, int maxAttempts, Instant deadline, boolean resumed) {
         this.requestClass = requestClass;
-        this.mostAttempts = mostAttempts;
+        this.maxAttempts = maxAttempts;
         this.deadline = deadline;
         this.resumed = resumed;
     }
 
     /** Returns the rule that an attempt would break if it began now, if any; {@code isWrite}: whether it is at a writer. */
-    Optional<Rule> againstAttempt(boolean write, Instant now) {
+    Optional<Rule> checkAttempt(boolean isWrite, Instant now) {
         if (ended) {
             return Optional.of(Rule.ATTEMPT_AFTER_END);
         }
-        if (out) {
+        if (inFlight) {
             return Optional.of(Rule.ATTEMPT_BESIDE_ANOTHER);
         }
-        if (attempts >= mostAttempts) {
+        if (attempts >= maxAttempts) {
             return Optional.of(Rule.TOO_MANY_ATTEMPTS);
         }
-        return write && ranSince != null && !repeatable(now) ? Optional.of(Rule.REPEATED_RUN) : Optional.empty();
+        return isWrite && firstRunStart != null && !mayRepeat(now) ? Optional.of(Rule.REPEATED_RUN) : Optional.empty();
     }
 
     /** Returns the rule that a refusal would break now, if any. */
-    Optional<Rule> againstRefusal() {
-        boolean proven = !resumed && ranSince == null && !(out && writing);
-        return proven || dropsRepeats() ? Optional.empty() : Optional.of(Rule.REFUSED_AFTER_RUN);
+    Optional<Rule> checkRefusal() {
+        boolean provenNotRun = !resumed && firstRunStart == null && !(inFlight && atWriter);
+        return provenNotRun || isRepeatHarmless() ? Optional.empty() : Optional.of(Rule.REFUSED_AFTER_RUN);
     }
 
     /** Returns the rule that a final answer would break now, if any; the answer is still given. */
-    Optional<Rule> againstAnswer(Instant now) {
+    Optional<Rule> checkFinalAnswer(Instant now) {
         return now.isAfter(deadline.plus(ANSWER_GRACE)) ? Optional.of(Rule.LATE_ANSWER) : Optional.empty();
     }
 
     /** Records that an attempt begins. */
-    void begun(boolean write, Instant now) {
+    void attemptBegan(boolean isWrite, Instant now) {
         attempts++;
-        out = true;
-        writing = write;
-        written = write ? now : written;
+        inFlight = true;
+        atWriter = isWrite;
+        lastWriteStart = isWrite ? now : lastWriteStart;
     }
 
     /** Records the end of the attempt in flight; {@code connected}: it had a connection. */
-    void outcome(Outcome outcome, boolean reached) {
-        boolean ran = writing && reached && !NOTHING_RAN.contains(outcome);
-        ranSince = ran && ranSince == null ? written : ranSince;
-        out = false;
+    void attemptEnded(Outcome outcome, boolean connected) {
+        boolean mayHaveRun = atWriter && connected && !NOTHING_RAN.contains(outcome);
+        firstRunStart = mayHaveRun && firstRunStart == null ? lastWriteStart : firstRunStart;
+        inFlight = false;
     }
 
     /** Records that the request has its final answer or that its stream has begun. */
-    void ended() {
+    void requestEnded() {
         ended = true;
     }
 
     /** Whether repeating the request at any server is harmless. */
-    private boolean dropsRepeats() {
-        return requestClass != null && requestClass.dropsRepeats();
+    private boolean isRepeatHarmless() {
+        return requestClass != null && requestClass.isRepeatable();
     }
 
-    private boolean repeatable(Instant now) {
-        if (requestClass == null || requestClass.effect() == Effect.UNSAFE) {
+    private boolean mayRepeat(Instant now) {
+        if (requestClass == null || requestClass.repeats() == Repeats.UNSAFE) {
             return false;
         }
-        return requestClass.effect() == Effect.SAFE
-                || now.isBefore(ranSince.plus(ModuleTime.span(requestClass.windowS())));
+        return requestClass.repeats() == Repeats.SAFE
+                || now.isBefore(firstRunStart.plus(ModuleTime.duration(requestClass.dedupS())));
     }
 }
--- a/src/main/java/copperbeam/routing/Ask.java
+++ b/src/main/java/copperbeam/routing/RequestSpec.java
@@ -11,7 +11,7 @@
  * @param deadline when the client stops waiting for the first token
  * @param resumed whether the client asks for the rest of a broken stream; such a request has already run
  */
-public record Ask(
+public record RequestSpec(
         String id,
         String requestClass,
         String customer,
@@ -25,7 +25,7 @@
         Payload payload) {
 
     /** Creates a request without a tenant. */
-    public Ask(
+    public RequestSpec(
             String id,
             String requestClass,
             String session,
--- a/src/main/java/copperbeam/routing/Answer.java
+++ b/src/main/java/copperbeam/routing/ResponseSink.java
@@ -6,7 +6,7 @@
  * Receives the response to one request and passes it to the client. Exactly one of {@link #refuse}, {@link #fail},
  * {@link #end} and {@link #broken} is called, and it is the last call.
  */
-public interface Answer {
+public interface ResponseSink {
     /** Reason why a request failed. */
     enum Failure {
         TOO_LATE,
@@ -24,7 +24,7 @@
      * @param onDrained is run once the client's connection has taken the event
      * @return false if the front can't pass it on; the stream is then broken
      */
-    boolean event(byte[] raw, Runnable drained);
+    boolean event(byte[] eventBytes, Runnable onDrained);
 
     /** Ends a complete stream. */
     void end();
@@ -40,7 +40,7 @@
      */
     void refuse(Duration retryAfter, boolean tried);
 
-    void fail(Failure why);
+    void fail(Failure reason);
 
     /**
      * Whether the client has gone away. May be called from any thread, and is true before {@link Intake#clientGone} is called,
--- a/src/main/java/copperbeam/routing/ServerCall.java
+++ b/src/main/java/copperbeam/routing/ServerCall.java
@@ -12,51 +12,55 @@
  * {@link PeerActor}.
  */
 final class ServerCall {
-    final PeerActor.Message order;
-    final Instant began;
-    Instant until;
-    Future<?> expiry;
-    Instant written; // when it was handed to a connection; null before
-    Instant heard; // when the last event of the stream arrived
-    Instant ended; // when the answer ended or the connection broke or was reset; null before, and after an ordinary close here
+    final PeerActor.Message command;
+    final Instant startedAt;
+    Instant expiresAt;
+    Future<?> expiryTimer;
+    Instant dispatchedAt; // when it was handed to a connection; null before
+    Instant lastEventAt; // when the last event of the stream arrived
+    Instant endedAt; // when the answer ended or the connection broke or was reset; null before, and after an ordinary
+    // close here
     Connector.Connection connection;
-    boolean reused;
-    int connects; // connects started
-    int unsent; // new connections that ended before the last byte was sent
+    boolean connectionReused;
+    int connectCount; // connects started
+    int unsentCount; // new connections that ended before the last byte was sent
     boolean done;
-    boolean offered; // the first event was sent to the ModuleActor
-    boolean proceeding; // the ModuleActor has accepted the first event
-    boolean whole; // the answer was completed before the ModuleActor accepted the first event
-    boolean cut; // the connection broke before the ModuleActor accepted the first event
-    Connector.Word word;
+    boolean firstEventReported; // the first event was sent to the ModuleActor
+    boolean streamAccepted; // the ModuleActor has accepted the first event
+    boolean completedBeforeAccepted; // the answer was completed before the ModuleActor accepted the first event
+    boolean brokenBeforeAccepted; // the connection broke before the ModuleActor accepted the first event
+    Connector.AnswerKind answerKind;
     Report report;
-    double kept = Double.NaN; // see Connector.CallListener.end
-    final Deque<byte[]> held = new ArrayDeque<>(); // events after the first, until the ModuleActor accepts that
+    double keptTokens = Double.NaN; // see Connector.CallListener.end
+    final Deque<byte[]> pendingEvents =
+            new ArrayDeque<>(); // events after the first, until the ModuleActor accepts that
 
-    ServerCall(PeerActor.Message order, Instant began) {
-        this.order = order;
-        this.began = began;
+    ServerCall(PeerActor.Message command, Instant startedAt) {
+        this.command = command;
+        this.startedAt = startedAt;
     }
 
     /** The attempt that this call carries, or null for a probe or a release. */
-    PeerActor.Send send() {
-        return order instanceof PeerActor.Send s ? s : null;
+    PeerActor.Send sendCommand() {
+        return command instanceof PeerActor.Send send ? send : null;
     }
 
     /** When a new connection for this call must be up: {@code defaultDeadline}, or earlier if the attempt requires it. */
-    Instant upBy(Instant usual) {
-        return send() != null && send().upBy().isBefore(usual) ? send().upBy() : usual;
+    Instant connectDeadline(Instant defaultDeadline) {
+        return sendCommand() != null && sendCommand().connectBy().isBefore(defaultDeadline)
+                ? sendCommand().connectBy()
+                : defaultDeadline;
     }
 
     /** The head of the answer says that the server did not run the request; this holds even if the rest is lost. */
     boolean refused() {
-        return word == Connector.Word.TURNED_AWAY || word == Connector.Word.STATE_MISSING;
+        return answerKind == Connector.AnswerKind.TURNED_AWAY || answerKind == Connector.AnswerKind.STATE_MISSING;
     }
 
     /** The outcome of a call whose answer is complete. */
-    Outcome answered() {
-        return switch (word == null ? Connector.Word.ERROR : word) {
-            case STREAM -> proceeding ? Outcome.OK : Outcome.ERROR;
+    Outcome outcomeOfCompleteAnswer() {
+        return switch (answerKind == null ? Connector.AnswerKind.ERROR : answerKind) {
+            case STREAM -> streamAccepted ? Outcome.OK : Outcome.ERROR;
             case READ -> Outcome.READ;
             case HEARD -> Outcome.OK;
             case TURNED_AWAY, STATE_MISSING -> Outcome.FULL;
@@ -65,9 +69,9 @@
     }
 
     /** Returns a task that extends the receive window by the size of this event. */
-    Runnable granting(byte[] raw) {
-        Connector.Connection granted = connection;
+    Runnable windowGrant(byte[] eventBytes) {
+        Connector.Connection grantedConnection = connection;
         // null if the stream was complete before its first event was accepted
-        return granted == null ? () -> {} : () -> granted.grant(raw.length);
+        return grantedConnection == null ? () -> {} : () -> grantedConnection.grant(eventBytes.length);
     }
 }
--- a/src/main/java/copperbeam/routing/StageTimes.java
+++ b/src/main/java/copperbeam/routing/StageTimes.java
@@ -38,11 +38,11 @@
     private static final class Counts {
         private final LongAdder stays = new LongAdder();
         private final LongAdder millis = new LongAdder();
-        private final Map<String, LongAdder> ends = new ConcurrentHashMap<>();
+        private final Map<String, LongAdder> endsByCause = new ConcurrentHashMap<>();
 
         @Override
         public String toString() {
-            SortedMap<String, LongAdder> sorted = new TreeMap<>(ends);
+            SortedMap<String, LongAdder> sorted = new TreeMap<>(endsByCause);
             return stays + " in " + millis + " ms" + (sorted.isEmpty() ? "" : " " + sorted);
         }
     }
@@ -50,23 +50,23 @@
     private final Map<Key, Counts> counts = new ConcurrentHashMap<>();
 
     /** Adds the time that a request spent in this stage. */
-    public void stayed(String requestClass, Stage stage, Duration span) {
-        Counts c = counts(requestClass, stage);
-        c.stays.increment();
-        c.millis.add(span.toMillis());
+    public void addStay(String requestClass, Stage stage, Duration duration) {
+        Counts stageCounts = counts(requestClass, stage);
+        stageCounts.stays.increment();
+        stageCounts.millis.add(duration.toMillis());
     }
 
     /** Counts a request that was refused or failed in this stage. */
-    public void ended(String requestClass, Stage stage, Enum<?> cause) {
+    public void addEnd(String requestClass, Stage stage, Enum<?> cause) {
         counts(requestClass, stage)
-                .ends
+                .endsByCause
                 .computeIfAbsent(cause.name(), name -> new LongAdder())
                 .increment();
     }
 
     /** Number of requests that ended in this stage for this cause. */
-    public long ends(String requestClass, Stage stage, Enum<?> cause) {
-        LongAdder count = counts(requestClass, stage).ends.get(cause.name());
+    public long endCount(String requestClass, Stage stage, Enum<?> cause) {
+        LongAdder count = counts(requestClass, stage).endsByCause.get(cause.name());
         return count == null ? 0 : count.sum();
     }
 
--- a/src/main/java/copperbeam/simhost/Decoder.java
+++ b/src/main/java/copperbeam/simhost/Decoder.java
@@ -1,13 +1,13 @@
 package copperbeam.simhost;
 
 import static copperbeam.simhost.Wire.flag;
-import static copperbeam.simhost.Wire.list;
 import static copperbeam.simhost.Wire.number;
 import static copperbeam.simhost.Wire.objects;
-import static copperbeam.simhost.Wire.part;
+import static copperbeam.simhost.Wire.optionalList;
+import static copperbeam.simhost.Wire.optionalMap;
 import static copperbeam.simhost.Wire.text;
 import static copperbeam.simhost.Wire.textOrNull;
-import static copperbeam.simhost.Wire.whole;
+import static copperbeam.simhost.Wire.wholeNumber;
 
 import copperbeam.Api.*;
 import java.util.ArrayList;
@@ -16,156 +16,160 @@
 
 /** Converts the simulator's messages to the decision module's settings and events: translates names and converts units. */
 public final class Decoder {
-    private static final double US = 1e-6;
-    private static final double RELEASE_S = 1; // lease of a read state if the settings don't bound it
+    private static final double S_PER_US = 1e-6;
+    private static final double DEFAULT_RELEASE_S = 1; // lease of a read state if the settings don't bound it
 
     private Decoder() {}
 
     /** Decodes the settings; also used for the program's own configuration file. */
-    public static Settings settings(Map<String, Object> c) throws Wire.Malformed {
-        Map<String, Object> extra = part(c, "extra");
-        Map<String, Object> limits = part(c, "limits");
-        Map<String, Object> rules = part(c, "rules");
+    public static Settings settings(Map<String, Object> config) throws Wire.Malformed {
+        Map<String, Object> extra = optionalMap(config, "extra");
+        Map<String, Object> limits = optionalMap(config, "limits");
+        Map<String, Object> rules = optionalMap(config, "rules");
         List<RequestClass> classes = new ArrayList<>();
-        List<Object> perThousand = list(extra, "aim_us_per_1000_prompt_tokens");
-        for (Map<String, Object> s : objects(c, "services")) {
-            double more = at(perThousand, classes.size(), Number.class, 0, "aim_us_per_1000_prompt_tokens")
+        List<Object> aimsUsPer1000Tokens = optionalList(extra, "aim_us_per_1000_prompt_tokens");
+        for (Map<String, Object> entry : objects(config, "services")) {
+            double aimUsPer1000Tokens = elementAt(
+                            aimsUsPer1000Tokens, classes.size(), Number.class, 0, "aim_us_per_1000_prompt_tokens")
                     .doubleValue();
             classes.add(new RequestClass(
-                    text(s, "name"),
-                    number(s, "promise_s"),
-                    more * US,
-                    number(s, "worth", 0),
-                    effect(textOrNull(s, "semantics")),
-                    group(textOrNull(s, "group")),
-                    number(s, "window_s", 0)));
+                    text(entry, "name"),
+                    number(entry, "promise_s"),
+                    aimUsPer1000Tokens * S_PER_US,
+                    number(entry, "worth", 0),
+                    effect(textOrNull(entry, "semantics")),
+                    group(textOrNull(entry, "group")),
+                    number(entry, "window_s", 0)));
         }
         List<Customer> customers = new ArrayList<>();
-        for (Map<String, Object> s : objects(c, "customers")) {
-            customers.add(new Customer(text(s, "name"), number(s, "quota_per_s", 0)));
+        for (Map<String, Object> entry : objects(config, "customers")) {
+            customers.add(new Customer(text(entry, "name"), number(entry, "quota_per_s", 0)));
         }
-        List<Kind> kinds = new ArrayList<>();
-        List<Object> roles = list(extra, "role_by_kind");
-        List<Object> memory = list(extra, "memory_tokens");
-        for (Object name : list(c, "kinds")) {
-            int k = kinds.size();
+        List<ServerKind> kinds = new ArrayList<>();
+        List<Object> roles = optionalList(extra, "role_by_kind");
+        List<Object> memory = optionalList(extra, "memory_tokens");
+        for (Object name : optionalList(config, "kinds")) {
+            int index = kinds.size();
             if (!(name instanceof String)) {
                 throw new Wire.Malformed("field 'kinds' holds something that is not a text");
             }
-            kinds.add(new Kind(
+            kinds.add(new ServerKind(
                     (String) name,
-                    role(at(roles, k, String.class, "both", "role_by_kind")),
-                    at(memory, k, Number.class, 0, "memory_tokens").doubleValue()));
+                    role(elementAt(roles, index, String.class, "both", "role_by_kind")),
+                    elementAt(memory, index, Number.class, 0, "memory_tokens").doubleValue()));
         }
         // a rule whose number is missing or 0 is off, or gets a default; a limit of 0 would forbid all attempts
-        double release = number(extra, "release_s", 0);
-        double fall = number(rules, "fall_multiple", 0);
+        double releaseS = number(extra, "release_s", 0);
+        double fallMultiple = number(rules, "fall_multiple", 0);
         return new Settings(
-                (int) whole(c, "balancers"),
-                (int) number(c, "self_index", -1),
+                (int) wholeNumber(config, "balancers"),
+                (int) number(config, "self_index", -1),
                 classes,
                 customers,
                 kinds,
                 new Limits(
-                        (int) whole(limits, "send_cap"),
+                        (int) wholeNumber(limits, "send_cap"),
                         flag(limits, "cancel"),
                         flag(limits, "probing"),
                         flag(limits, "retry_after") ? number(limits, "max_retry_after_s", 0) : 0),
                 new Rules(
                         number(rules, "cold_from", 0),
-                        fall > 0 ? number(rules, "warm_within_s", 0) : 0,
-                        fall,
+                        fallMultiple > 0 ? number(rules, "warm_within_s", 0) : 0,
+                        fallMultiple,
                         number(rules, "fall_s", 0),
-                        release > 0 ? release : RELEASE_S,
+                        releaseS > 0 ? releaseS : DEFAULT_RELEASE_S,
                         number(rules, "ask_within_s", 0)),
-                reports(textOrNull(part(c, "report"), "via")),
-                "subscribe".equals(textOrNull(c, "discovery")),
-                number(part(c, "penalties"), "probe", 0),
+                reports(textOrNull(optionalMap(config, "report"), "via")),
+                "subscribe".equals(textOrNull(config, "discovery")),
+                number(optionalMap(config, "penalties"), "probe", 0),
                 flag(extra, "local_read"),
                 flag(extra, "resume"));
     }
 
     /** Decodes an event; null for a message that the module doesn't use. */
-    static Event event(Wire.Message m) throws Wire.Malformed {
-        Map<String, Object> f = m.fields();
-        switch (m.name()) {
+    static Event event(Wire.Message message) throws Wire.Malformed {
+        Map<String, Object> fields = message.fields();
+        switch (message.name()) {
             case "update":
-                return new Members(listKind(whole(f, "mode")), members(f));
+                return new ServerListUpdate(listKind(wholeNumber(fields, "mode")), members(fields));
             case "inbound":
                 return new Arrival(
-                        whole(f, "call"),
-                        text(f, "lane"),
-                        textOrNull(f, "owner"),
-                        textOrNull(f, "session"),
-                        textOrNull(f, "shared_prefix"),
-                        number(f, "input_len", 0),
-                        number(f, "prefix_len", 0),
-                        number(f, "max_tokens", 0),
-                        number(f, "valid_until_s"));
+                        wholeNumber(fields, "call"),
+                        text(fields, "lane"),
+                        textOrNull(fields, "owner"),
+                        textOrNull(fields, "session"),
+                        textOrNull(fields, "shared_prefix"),
+                        number(fields, "input_len", 0),
+                        number(fields, "prefix_len", 0),
+                        number(fields, "max_tokens", 0),
+                        number(fields, "valid_until_s"));
             case "started":
                 return new StreamStarted(
-                        whole(f, "call"),
-                        (int) number(f, "seq_no", 0),
-                        text(f, "engine"),
-                        number(f, "delay_seen_s", 0));
+                        wholeNumber(fields, "call"),
+                        (int) number(fields, "seq_no", 0),
+                        text(fields, "engine"),
+                        number(fields, "delay_seen_s", 0));
             case "ended":
-                Outcome outcome = outcome(text(f, "verdict"));
+                Outcome outcome = outcome(text(fields, "verdict"));
                 return new AttemptEnded(
-                        whole(f, "call"),
-                        (int) number(f, "seq_no", 0),
-                        text(f, "engine"),
+                        wholeNumber(fields, "call"),
+                        (int) number(fields, "seq_no", 0),
+                        text(fields, "engine"),
                         outcome,
-                        number(f, "delay_seen_s", 0),
-                        flag(f, "complete"),
-                        outcome == Outcome.FULL && number(f, "note", 0) == 1,
-                        report(f),
-                        outcome == Outcome.READ ? number(f, "note", 0) : Double.NaN);
+                        number(fields, "delay_seen_s", 0),
+                        flag(fields, "complete"),
+                        outcome == Outcome.FULL && number(fields, "note", 0) == 1,
+                        report(fields),
+                        outcome == Outcome.READ ? number(fields, "note", 0) : Double.NaN);
             case "client_gone":
-                return new ClientLeft(whole(f, "call"));
+                return new ClientLeft(wholeNumber(fields, "call"));
             case "fired":
-                return new TimerFired(text(f, "tag"));
+                return new TimerFired(text(fields, "tag"));
             case "probe_done":
-                return new Probed(
-                        text(f, "engine"), outcome(text(f, "verdict")), number(f, "delay_seen_s", 0), report(f));
+                return new ProbeEnded(
+                        text(fields, "engine"),
+                        outcome(text(fields, "verdict")),
+                        number(fields, "delay_seen_s", 0),
+                        report(fields));
             case "answer_ahead":
             case "from_peer":
                 return null;
             default:
-                throw new Wire.Malformed("unknown event '" + m.name() + "'");
+                throw new Wire.Malformed("unknown event '" + message.name() + "'");
         }
     }
 
-    private static List<Member> members(Map<String, Object> f) throws Wire.Malformed {
+    private static List<Member> members(Map<String, Object> fields) throws Wire.Malformed {
         List<Member> members = new ArrayList<>();
-        for (Map<String, Object> h : objects(f, "hosts")) {
+        for (Map<String, Object> host : objects(fields, "hosts")) {
             members.add(new Member(
-                    text(h, "engine"),
-                    textOrNull(h, "hall"),
-                    textOrNull(h, "model"),
-                    (long) number(h, "cluster", 0),
-                    state((long) number(h, "stage_state", 0)),
-                    number(h, "weight", 0),
-                    number(h, "launched_s", 0)));
+                    text(host, "engine"),
+                    textOrNull(host, "hall"),
+                    textOrNull(host, "model"),
+                    (long) number(host, "cluster", 0),
+                    state((long) number(host, "stage_state", 0)),
+                    number(host, "weight", 0),
+                    number(host, "launched_s", 0)));
         }
         return members;
     }
 
-    private static Report report(Map<String, Object> f) throws Wire.Malformed {
-        Map<String, Object> r = part(f, "report");
-        return r.isEmpty()
+    private static Report report(Map<String, Object> fields) throws Wire.Malformed {
+        Map<String, Object> reportFields = optionalMap(fields, "report");
+        return reportFields.isEmpty()
                 ? null
                 : new Report(
-                        number(r, "cpu", Double.NaN),
-                        number(r, "waiting", Double.NaN),
-                        number(r, "active", Double.NaN),
-                        number(r, "x0", Double.NaN),
-                        number(r, "x1", Double.NaN));
+                        number(reportFields, "cpu", Double.NaN),
+                        number(reportFields, "waiting", Double.NaN),
+                        number(reportFields, "active", Double.NaN),
+                        number(reportFields, "x0", Double.NaN),
+                        number(reportFields, "x1", Double.NaN));
     }
 
-    private static <T> T at(List<Object> list, int index, Class<? extends T> type, T absent, String key)
+    private static <T> T elementAt(List<Object> list, int index, Class<? extends T> type, T defaultValue, String key)
             throws Wire.Malformed {
         if (index >= list.size()) {
-            return absent;
+            return defaultValue;
         }
         if (!type.isInstance(list.get(index))) {
             throw new Wire.Malformed("field '" + key + "' holds something of a wrong type");
@@ -177,23 +181,23 @@
         return new Wire.Malformed("unknown " + what + " '" + value + "'");
     }
 
-    private static Effect effect(String word) throws Wire.Malformed {
+    private static Repeats effect(String word) throws Wire.Malformed {
         if (word == null) {
             throw new Wire.Malformed("field 'semantics' is missing");
         }
         return switch (word) {
-            case "safe" -> Effect.SAFE;
-            case "keyed" -> Effect.KEYED;
-            case "unsafe" -> Effect.UNSAFE;
+            case "safe" -> Repeats.SAFE;
+            case "keyed" -> Repeats.KEYED;
+            case "unsafe" -> Repeats.UNSAFE;
             default -> throw unknown("semantics", word);
         };
     }
 
-    private static Group group(String word) throws Wire.Malformed {
+    private static DedupScope group(String word) throws Wire.Malformed {
         return switch (word == null ? "all" : word) {
-            case "all" -> Group.ALL;
-            case "zone" -> Group.ZONE;
-            case "cell" -> Group.CELL;
+            case "all" -> DedupScope.ALL;
+            case "zone" -> DedupScope.ZONE;
+            case "cell" -> DedupScope.CELL;
             default -> throw unknown("group", word);
         };
     }
@@ -207,11 +211,11 @@
         };
     }
 
-    private static Reports reports(String word) throws Wire.Malformed {
+    private static ReportTiming reports(String word) throws Wire.Malformed {
         return switch (word == null ? "off" : word) {
-            case "inline" -> Reports.WITH_OUTCOMES;
-            case "on_probe" -> Reports.WITH_PROBES;
-            case "off" -> Reports.NEVER;
+            case "inline" -> ReportTiming.WITH_OUTCOMES;
+            case "on_probe" -> ReportTiming.WITH_PROBES;
+            case "off" -> ReportTiming.NEVER;
             default -> throw unknown("way of reporting", word);
         };
     }
--- a/src/main/java/copperbeam/simhost/SimHost.java
+++ b/src/main/java/copperbeam/simhost/SimHost.java
@@ -35,7 +35,7 @@
         for (String line = lines.readLine(); line != null; line = lines.readLine()) {
             number++;
             try {
-                if (!line.isBlank() && host.take(Wire.message(line))) {
+                if (!line.isBlank() && host.handle(Wire.parseMessage(line))) {
                     out.write(host.reply.toString().getBytes(StandardCharsets.UTF_8));
                     out.flush();
                     host.reply.getBuffer().setLength(0);
@@ -49,106 +49,109 @@
     }
 
     /** Handles a message; returns true if it ended its batch, so that the reply is complete. */
-    private boolean take(Wire.Message m) throws IOException {
-        if (m.name().equals("frame")) {
-            now = Wire.number(m.fields(), "wall_s");
-            frame = Wire.whole(m.fields(), "frame");
+    private boolean handle(Wire.Message message) throws IOException {
+        if (message.name().equals("frame")) {
+            now = Wire.number(message.fields(), "wall_s");
+            frame = Wire.wholeNumber(message.fields(), "frame");
             inBatch = true;
             return false;
         }
         if (!inBatch) {
-            throw new Wire.Malformed("'" + m.name() + "' outside a batch");
+            throw new Wire.Malformed("'" + message.name() + "' outside a batch");
         }
-        if (m.name().equals("over_to_you")) {
+        if (message.name().equals("over_to_you")) {
             inBatch = false;
-            try (JsonGenerator g = line("eor")) {
-                g.writeNumberField("frame", frame);
+            try (JsonGenerator json = startLine("eor")) {
+                json.writeNumberField("frame", frame);
             }
             reply.write('\n');
             return true;
         }
-        long i = Wire.whole(m.fields(), "i");
-        if (m.name().equals("start")) {
+        long instance = Wire.wholeNumber(message.fields(), "i");
+        if (message.name().equals("start")) {
             instances.put(
-                    i, new Brain(Decoder.settings(Wire.map(m.fields(), "config")), Wire.whole(m.fields(), "seed")));
-        } else if (m.name().equals("retire")) {
-            instances.remove(i);
+                    instance,
+                    new Brain(
+                            Decoder.settings(Wire.map(message.fields(), "config")),
+                            Wire.wholeNumber(message.fields(), "seed")));
+        } else if (message.name().equals("retire")) {
+            instances.remove(instance);
         } else {
-            deliver(i, m);
+            deliver(instance, message);
         }
         return false;
     }
 
-    private void deliver(long i, Wire.Message m) throws IOException {
-        Brain brain = instances.get(i);
+    private void deliver(long instance, Wire.Message message) throws IOException {
+        Brain brain = instances.get(instance);
         if (brain == null) {
-            throw new Wire.Malformed("'" + m.name() + "' for instance " + i + ", which has not started");
+            throw new Wire.Malformed("'" + message.name() + "' for instance " + instance + ", which has not started");
         }
-        Event event = Decoder.event(m);
+        Event event = Decoder.event(message);
         if (event != null) {
-            for (Action action : brain.on(now, event)) {
-                write(i, action);
+            for (Action action : brain.onEvent(now, event)) {
+                write(instance, action);
             }
         }
     }
 
-    private JsonGenerator line(String name) throws IOException {
-        JsonGenerator g = JSON.createGenerator(reply);
-        g.writeStartObject();
-        g.writeObjectFieldStart(name);
-        return g;
+    private JsonGenerator startLine(String name) throws IOException {
+        JsonGenerator json = JSON.createGenerator(reply);
+        json.writeStartObject();
+        json.writeObjectFieldStart(name);
+        return json;
     }
 
-    private void write(long i, Action action) throws IOException {
+    private void write(long instance, Action action) throws IOException {
         if (action instanceof Attempt a) {
-            try (JsonGenerator g = call("attempt", i, a.request())) {
-                g.writeStringField("engine", a.server());
-                g.writeNumberField("try_until_s", a.until());
+            try (JsonGenerator json = startRequestLine("attempt", instance, a.request())) {
+                json.writeStringField("engine", a.server());
+                json.writeNumberField("try_until_s", a.timeoutAt());
             }
         } else if (action instanceof Refuse a) {
-            try (JsonGenerator g = call("say_no", i, a.request())) {
-                g.writeNumberField("retry_after_s", a.retryAfterS());
+            try (JsonGenerator json = startRequestLine("say_no", instance, a.request())) {
+                json.writeNumberField("retry_after_s", a.retryAfterS());
             }
         } else if (action instanceof Fail a) {
-            call("give_up", i, a.request()).close();
+            startRequestLine("give_up", instance, a.request()).close();
         } else if (action instanceof Cancel a) {
-            try (JsonGenerator g = call("stop_attempt", i, a.request())) {
-                g.writeNumberField("seq_no", a.attempt());
+            try (JsonGenerator json = startRequestLine("stop_attempt", instance, a.request())) {
+                json.writeNumberField("seq_no", a.attempt());
             }
         } else if (action instanceof Transfer a) {
-            call("transfer", i, a.request()).close();
+            startRequestLine("transfer", instance, a.request()).close();
         } else if (action instanceof Release a) {
-            call("release", i, a.request()).close();
+            startRequestLine("release", instance, a.request()).close();
         } else if (action instanceof Probe a) {
-            try (JsonGenerator g = of("check", i)) {
-                g.writeStringField("engine", a.server());
+            try (JsonGenerator json = startInstanceLine("check", instance)) {
+                json.writeStringField("engine", a.server());
             }
         } else if (action instanceof Timer a) {
-            try (JsonGenerator g = of("sleep", i)) {
-                g.writeNumberField("wait_s", a.afterS());
-                g.writeStringField("tag", a.tag());
+            try (JsonGenerator json = startInstanceLine("sleep", instance)) {
+                json.writeNumberField("wait_s", a.delayS());
+                json.writeStringField("tag", a.tag());
             }
-        } else if (action instanceof FollowList) {
-            try (JsonGenerator g = of("follow", i)) {
-                g.writeBooleanField("enable", true);
+        } else if (action instanceof SubscribeToList) {
+            try (JsonGenerator json = startInstanceLine("follow", instance)) {
+                json.writeBooleanField("enable", true);
             }
         } else if (action instanceof Remark a) {
-            try (JsonGenerator g = of("remark", i)) {
-                g.writeStringField("words", a.text());
+            try (JsonGenerator json = startInstanceLine("remark", instance)) {
+                json.writeStringField("words", a.text());
             }
         }
         reply.write('\n');
     }
 
-    private JsonGenerator of(String name, long i) throws IOException {
-        JsonGenerator g = line(name);
-        g.writeNumberField("i", i);
-        return g;
+    private JsonGenerator startInstanceLine(String name, long instance) throws IOException {
+        JsonGenerator json = startLine(name);
+        json.writeNumberField("i", instance);
+        return json;
     }
 
-    private JsonGenerator call(String name, long i, long request) throws IOException {
-        JsonGenerator g = of(name, i);
-        g.writeNumberField("call", request);
-        return g;
+    private JsonGenerator startRequestLine(String name, long instance, long request) throws IOException {
+        JsonGenerator json = startInstanceLine(name, instance);
+        json.writeNumberField("call", request);
+        return json;
     }
 }
--- a/src/main/java/copperbeam/simhost/Wire.java
+++ b/src/main/java/copperbeam/simhost/Wire.java
@@ -19,22 +19,22 @@
     public static final class Malformed extends IOException {
         private static final long serialVersionUID = 1L;
 
-        Malformed(String what) {
-            super(what);
+        Malformed(String problem) {
+            super(problem);
         }
     }
 
     /** A message of the protocol. */
     record Message(String name, Map<String, Object> fields) {}
 
-    static Message message(String line) throws IOException {
+    static Message parseMessage(String line) throws IOException {
         Map<String, Object> outer;
-        try (JsonParser p = JSON.createParser(line)) {
-            if (p.nextToken() != JsonToken.START_OBJECT) {
+        try (JsonParser parser = JSON.createParser(line)) {
+            if (parser.nextToken() != JsonToken.START_OBJECT) {
                 throw new Malformed("not an object");
             }
-            outer = object(p);
-            if (p.nextToken() != null) {
+            outer = readObject(parser);
+            if (parser.nextToken() != null) {
                 throw new Malformed("more than one value on the line");
             }
         } catch (com.fasterxml.jackson.core.JsonProcessingException e) {
@@ -47,34 +47,34 @@
         return new Message(name, map(outer, name));
     }
 
-    private static Map<String, Object> object(JsonParser p) throws IOException {
+    private static Map<String, Object> readObject(JsonParser parser) throws IOException {
         Map<String, Object> map = new LinkedHashMap<>();
-        while (p.nextToken() != JsonToken.END_OBJECT) {
-            String key = p.currentName();
-            p.nextToken();
-            map.put(key, value(p));
+        while (parser.nextToken() != JsonToken.END_OBJECT) {
+            String key = parser.currentName();
+            parser.nextToken();
+            map.put(key, readValue(parser));
         }
         return map;
     }
 
-    private static Object value(JsonParser p) throws IOException {
-        switch (p.currentToken()) {
+    private static Object readValue(JsonParser parser) throws IOException {
+        switch (parser.currentToken()) {
             case START_OBJECT:
-                return object(p);
+                return readObject(parser);
             case START_ARRAY:
                 List<Object> list = new ArrayList<>();
-                while (p.nextToken() != JsonToken.END_ARRAY) {
-                    list.add(value(p));
+                while (parser.nextToken() != JsonToken.END_ARRAY) {
+                    list.add(readValue(parser));
                 }
                 return list;
             case VALUE_STRING:
-                return p.getText();
+                return parser.getText();
             case VALUE_NUMBER_INT:
             case VALUE_NUMBER_FLOAT:
-                return p.getNumberValue();
+                return parser.getNumberValue();
             case VALUE_TRUE:
             case VALUE_FALSE:
-                return p.getBooleanValue();
+                return parser.getBooleanValue();
             case VALUE_NULL:
                 return null;
             default:
@@ -82,16 +82,16 @@
         }
     }
 
-    private static <T> T field(Map<String, Object> m, String key, Class<T> type) throws Malformed {
-        Object v = m.get(key);
-        if (v != null && !type.isInstance(v)) {
+    private static <T> T field(Map<String, Object> fields, String key, Class<T> type) throws Malformed {
+        Object value = fields.get(key);
+        if (value != null && !type.isInstance(value)) {
             throw new Malformed(
                     "field '" + key + "' is not a " + type.getSimpleName().toLowerCase());
         }
-        return type.cast(v);
+        return type.cast(value);
     }
 
-    private static <T> T present(T value, String key) throws Malformed {
+    private static <T> T required(T value, String key) throws Malformed {
         if (value == null) {
             throw new Malformed("field '" + key + "' is missing");
         }
@@ -99,64 +99,64 @@
     }
 
     @SuppressWarnings("unchecked")
-    static Map<String, Object> map(Map<String, Object> m, String key) throws Malformed {
-        return present(field(m, key, Map.class), key);
+    static Map<String, Object> map(Map<String, Object> fields, String key) throws Malformed {
+        return required(field(fields, key, Map.class), key);
     }
 
     /** An optional object; empty if absent. */
     @SuppressWarnings("unchecked")
-    static Map<String, Object> part(Map<String, Object> m, String key) throws Malformed {
-        Map<String, Object> v = field(m, key, Map.class);
-        return v == null ? Map.of() : v;
+    static Map<String, Object> optionalMap(Map<String, Object> fields, String key) throws Malformed {
+        Map<String, Object> value = field(fields, key, Map.class);
+        return value == null ? Map.of() : value;
     }
 
     /** An optional list; empty if absent. */
     @SuppressWarnings("unchecked")
-    static List<Object> list(Map<String, Object> m, String key) throws Malformed {
-        List<Object> v = field(m, key, List.class);
-        return v == null ? List.of() : v;
+    static List<Object> optionalList(Map<String, Object> fields, String key) throws Malformed {
+        List<Object> value = field(fields, key, List.class);
+        return value == null ? List.of() : value;
     }
 
     @SuppressWarnings("unchecked")
-    static List<Map<String, Object>> objects(Map<String, Object> m, String key) throws Malformed {
+    static List<Map<String, Object>> objects(Map<String, Object> fields, String key) throws Malformed {
         List<Map<String, Object>> result = new ArrayList<>();
-        for (Object o : list(m, key)) {
-            if (!(o instanceof Map)) {
+        for (Object element : optionalList(fields, key)) {
+            if (!(element instanceof Map)) {
                 throw new Malformed("field '" + key + "' holds something that is not an object");
             }
-            result.add((Map<String, Object>) o);
+            result.add((Map<String, Object>) element);
         }
         return result;
     }
 
-    static String text(Map<String, Object> m, String key) throws Malformed {
-        return present(field(m, key, String.class), key);
+    static String text(Map<String, Object> fields, String key) throws Malformed {
+        return required(field(fields, key, String.class), key);
     }
 
-    static String textOrNull(Map<String, Object> m, String key) throws Malformed {
-        return field(m, key, String.class);
+    static String textOrNull(Map<String, Object> fields, String key) throws Malformed {
+        return field(fields, key, String.class);
     }
 
-    static double number(Map<String, Object> m, String key) throws Malformed {
-        return present(field(m, key, Number.class), key).doubleValue();
+    static double number(Map<String, Object> fields, String key) throws Malformed {
+        return required(field(fields, key, Number.class), key).doubleValue();
     }
 
     /** An optional number; {@code defaultValue} if absent. */
-    static double number(Map<String, Object> m, String key, double absent) throws Malformed {
-        Number v = field(m, key, Number.class);
-        return v == null ? absent : v.doubleValue();
+    static double number(Map<String, Object> fields, String key, double defaultValue) throws Malformed {
+        Number value = field(fields, key, Number.class);
+        return value == null ? defaultValue : value.doubleValue();
     }
 
-    static long whole(Map<String, Object> m, String key) throws Malformed {
-        Number v = present(field(m, key, Number.class), key);
-        if (v instanceof Double && v.doubleValue() != Math.rint(v.doubleValue())) {
+    static long wholeNumber(Map<String, Object> fields, String key) throws Malformed {
+        Number value = required(field(fields, key, Number.class), key);
+        if (value instanceof Double && value.doubleValue() != Math.rint(value.doubleValue())) {
             throw new Malformed("field '" + key + "' is not a whole number");
         }
-        return v.longValue();
+        return value.longValue();
     }
 
-    static boolean flag(Map<String, Object> m, String key) throws Malformed {
-        Boolean v = field(m, key, Boolean.class);
-        return v != null && v;
+    static boolean flag(Map<String, Object> fields, String key) throws Malformed {
+        Boolean value = field(fields, key, Boolean.class);
+        return value != null && value;
     }
 }
--- a/src/main/java/copperbeam/transport/Acceptor.java
+++ b/src/main/java/copperbeam/transport/Acceptor.java
@@ -25,40 +25,41 @@
 final class Acceptor {
     private static final Logger LOG = Logger.getLogger(Acceptor.class.getName());
     private static final int BACKLOG = 512;
-    private static final Duration TICK = Duration.ofMillis(200);
-    private static final Duration SOON = Duration.ofMillis(1); // while no connection may be accepted
-    private static final Duration AGAIN = Duration.ofMillis(20); // after a failed accept
+    private static final Duration SELECT_TIMEOUT = Duration.ofMillis(200);
+    private static final Duration CAPACITY_RETRY_DELAY = Duration.ofMillis(1); // while no connection may be accepted
+    private static final Duration FAILURE_RETRY_DELAY = Duration.ofMillis(20); // after a failed accept
 
     private final ServerSocketChannel listener;
     private final Selector selector;
     private final InetSocketAddress address;
-    private final BooleanSupplier takes;
-    private final Taker taker;
+    private final BooleanSupplier mayAccept;
+    private final Receiver receiver;
     private final ListenQueueAge queueAge;
     private volatile boolean closing;
     private volatile boolean abandoned;
-    private volatile boolean ended;
+    private volatile boolean closed;
 
     /** Receives the accepted connections. */
-    interface Taker {
+    interface Receiver {
         /** {@code queuedSince}: the earliest time from which the connection and its request may have waited in the kernel's queue. */
-        void take(SocketChannel channel, Instant queuedSince);
+        void receive(SocketChannel channel, Instant queuedSince);
     }
 
     /**
      * {@code shared}: another process may listen at the same address; {@code mayAccept}: whether one more connection may be
      * accepted, otherwise clients wait in the kernel's queue.
      */
-    Acceptor(InetSocketAddress at, boolean shared, Clock clock, BooleanSupplier takes, Taker taker) throws IOException {
-        this.takes = takes;
-        this.taker = taker;
+    Acceptor(InetSocketAddress bindAddress, boolean shared, Clock clock, BooleanSupplier mayAccept, Receiver receiver)
+            throws IOException {
+        this.mayAccept = mayAccept;
+        this.receiver = receiver;
         listener = ServerSocketChannel.open();
         try {
             listener.setOption(StandardSocketOptions.SO_REUSEADDR, true);
             if (shared) {
-                share();
+                enableSharing();
             }
-            listener.bind(at, BACKLOG);
+            listener.bind(bindAddress, BACKLOG);
             listener.configureBlocking(false);
             address = (InetSocketAddress) listener.getLocalAddress();
             queueAge = new ListenQueueAge(address, clock);
@@ -77,7 +78,7 @@
      * Sets SO_REUSEPORT. The JDK checks only once, at its first socket, whether the system supports it, and a check that failed
      * counts as "no" for the life of the process. Then this process can still listen alone, but fails to bind beside another one.
      */
-    private void share() throws IOException {
+    private void enableSharing() throws IOException {
         if (listener.supportedOptions().contains(StandardSocketOptions.SO_REUSEPORT)) {
             listener.setOption(StandardSocketOptions.SO_REUSEPORT, true);
         } else {
@@ -103,40 +104,41 @@
     }
 
     /** Whether the listening socket is closed or being closed. */
-    boolean closing() {
+    boolean isClosing() {
         return closing;
     }
 
     /** Whether the listening socket is closed. */
-    boolean ended() {
-        return ended;
+    boolean isClosed() {
+        return closed;
     }
 
     private void run() {
-        boolean left = true;
-        int missed = 0;
-        while (selector.isOpen() || left && !abandoned) {
+        boolean mayHaveMore = true;
+        int failures = 0;
+        while (selector.isOpen() || mayHaveMore && !abandoned) {
             try {
                 if (closing) {
                     selector.close(); // first: a listener that is still registered stays open and gets connections
                 } else {
-                    selector.select(TICK.toMillis());
+                    selector.select(SELECT_TIMEOUT.toMillis());
                     selector.selectedKeys().clear();
                 }
-                queueAge.filled();
-                left = take();
-                if (missed > 0 && !left) {
-                    LOG.warning("accepting connections failed " + missed + " times, and works again");
-                    missed = 0;
+                queueAge.queueFilled();
+                mayHaveMore = acceptQueued();
+                if (failures > 0 && !mayHaveMore) {
+                    LOG.warning("accepting connections failed " + failures + " times, and works again");
+                    failures = 0;
                 }
             } catch (IOException e) {
                 // probably out of descriptors: clients wait in the kernel's queue, and the failure is logged only once
                 // one is free, as logging itself may need one
-                missed++;
-                pause(AGAIN);
-            } catch (RuntimeException | Error e) { // uncaught, it would end the thread, and no connection would be accepted any more
+                failures++;
+                pause(FAILURE_RETRY_DELAY);
+            } catch (RuntimeException
+                    | Error e) { // uncaught, it would end the thread, and no connection would be accepted any more
                 LOG.log(Level.SEVERE, "accepting a connection failed unexpectedly", e);
-                pause(AGAIN);
+                pause(FAILURE_RETRY_DELAY);
             }
         }
         queueAge.close();
@@ -145,71 +147,71 @@
         } catch (IOException e) {
             LOG.fine(() -> "closing the listener failed: " + e);
         }
-        ended = true;
+        closed = true;
     }
 
     /** Accepts while it may; returns whether connections may be left in the queue. */
-    private boolean take() throws IOException {
-        while (takes.getAsBoolean()) {
-            SocketChannel next = listener.accept();
-            if (next == null) {
-                queueAge.emptied();
+    private boolean acceptQueued() throws IOException {
+        while (mayAccept.getAsBoolean()) {
+            SocketChannel accepted = listener.accept();
+            if (accepted == null) {
+                queueAge.queueEmptied();
                 return false;
             }
-            if (!queueAge.takeMarker(next)) {
-                taker.take(next, queueAge.waitingSince());
+            if (!queueAge.takeMarker(accepted)) {
+                receiver.receive(accepted, queueAge.waitingSince());
             }
-            mark();
+            sendMarkerIfDue();
         }
-        mark();
-        pause(SOON);
+        sendMarkerIfDue();
+        pause(CAPACITY_RETRY_DELAY);
         return true;
     }
 
-    private void mark() {
+    private void sendMarkerIfDue() {
         if (!closing) {
-            queueAge.mark();
+            queueAge.sendMarkerIfDue();
         }
     }
 
-    private void pause(Duration span) {
+    private void pause(Duration duration) {
         try {
-            Thread.sleep(span.toMillis());
+            Thread.sleep(duration.toMillis());
         } catch (InterruptedException e) {
             closing = true;
         }
     }
 
     /** Hands accepted connections to HttpCore's reactor, by reflection as HttpCore has no public method for it. */
-    static final class Entrance {
-        private static final Constructor<?> ENTRY;
-        private static final Method ENQUEUE;
+    static final class ReactorHandover {
+        private static final Constructor<?> ENTRY_CONSTRUCTOR;
+        private static final Method ENQUEUE_METHOD;
 
         static {
             try {
                 Class<?> entry = Class.forName("org.apache.hc.core5.reactor.ChannelEntry");
-                ENTRY = entry.getDeclaredConstructor(SocketChannel.class, Object.class);
-                ENTRY.setAccessible(true);
-                ENQUEUE = DefaultListeningIOReactor.class.getDeclaredMethod("enqueueChannel", entry);
-                ENQUEUE.setAccessible(true);
+                ENTRY_CONSTRUCTOR = entry.getDeclaredConstructor(SocketChannel.class, Object.class);
+                ENTRY_CONSTRUCTOR.setAccessible(true);
+                ENQUEUE_METHOD = DefaultListeningIOReactor.class.getDeclaredMethod("enqueueChannel", entry);
+                ENQUEUE_METHOD.setAccessible(true);
             } catch (ReflectiveOperationException e) {
                 throw new ExceptionInInitializerError(e);
             }
         }
 
-        private Entrance() {}
+        private ReactorHandover() {}
 
         /** Hands over a connection with {@code queuedSince} attached. If that fails, closes the connection and returns false. */
-        static boolean enter(DefaultListeningIOReactor reactor, SocketChannel channel, Instant queuedSince) {
+        static boolean handOver(DefaultListeningIOReactor reactor, SocketChannel channel, Instant queuedSince) {
             try {
                 channel.configureBlocking(false);
-                ENQUEUE.invoke(reactor, ENTRY.newInstance(channel, queuedSince));
+                ENQUEUE_METHOD.invoke(reactor, ENTRY_CONSTRUCTOR.newInstance(channel, queuedSince));
                 return true;
             } catch (ReflectiveOperationException | IOException e) {
                 LOG.warning("a connection could not be handed to the reactor: " + e);
                 try {
                     channel.close();
-                } catch (IOException closed) {
+                } catch (IOException closeFailure) {
                     LOG.finest("closing the connection failed");
                 }
                 return false;
--- a/src/main/java/copperbeam/transport/AdminServer.java
+++ b/src/main/java/copperbeam/transport/AdminServer.java
@@ -30,30 +30,30 @@
         void call(String line, Consumer<String> reply);
     }
 
-    static final int MOST_CALLERS = 64;
-    static final int MOST_LINE = 256;
-    static final Duration PATIENCE = Duration.ofSeconds(6); // from a caller's connect until its reply is written
-    private static final Duration TICK = Duration.ofMillis(250);
-    private static final Duration AGAIN = Duration.ofMillis(20); // after a failure, before the next attempt
+    static final int MAX_CALLERS = 64;
+    static final int MAX_LINE_BYTES = 256;
+    static final Duration CALL_TIMEOUT = Duration.ofSeconds(6); // from a caller's connect until its reply is written
+    private static final Duration SELECT_TIMEOUT = Duration.ofMillis(250);
+    private static final Duration RETRY_DELAY = Duration.ofMillis(20); // after a failure, before the next attempt
     private static final Logger LOG = Logger.getLogger(AdminServer.class.getName());
 
     private static final class Caller {
         final SocketChannel channel;
         final SelectionKey key;
-        final Instant since;
-        final ByteBuffer line = ByteBuffer.allocate(MOST_LINE);
-        boolean called; // its line is with the handler
-        ByteBuffer answer;
+        final Instant connectedAt;
+        final ByteBuffer line = ByteBuffer.allocate(MAX_LINE_BYTES);
+        boolean commandSent; // its line is with the handler
+        ByteBuffer reply;
 
-        Caller(SocketChannel channel, Selector selector, Instant since) throws IOException {
+        Caller(SocketChannel channel, Selector selector, Instant connectedAt) throws IOException {
             this.channel = channel;
-            this.since = since;
+            this.connectedAt = connectedAt;
             channel.configureBlocking(false);
             key = channel.register(selector, SelectionKey.OP_READ, this);
         }
     }
 
-    private record Reply(Caller to, String text) {}
+    private record Reply(Caller caller, String text) {}
 
     private final Clock clock;
     private final CommandHandler handler;
@@ -63,24 +63,24 @@
     private final Queue<Reply> replies = new ConcurrentLinkedQueue<>();
     private final Thread thread;
     private volatile boolean closed;
-    private boolean refused; // the last accept failed, and this was logged
+    private boolean acceptFailureLogged; // the last accept failed, and this was logged
 
     /** Binds the address and starts the listener's thread. */
-    public AdminServer(InetSocketAddress at, Clock clock, CommandHandler handler) throws IOException {
+    public AdminServer(InetSocketAddress bindAddress, Clock clock, CommandHandler handler) throws IOException {
         this.clock = clock;
         this.handler = handler;
         selector = Selector.open();
         listener = ServerSocketChannel.open();
         try {
             listener.setOption(StandardSocketOptions.SO_REUSEADDR, true);
-            listener.bind(at, 512);
+            listener.bind(bindAddress, 512);
             address = (InetSocketAddress) listener.getLocalAddress();
             listener.configureBlocking(false);
             listener.register(selector, SelectionKey.OP_ACCEPT);
         } catch (IOException e) {
             listener.close();
             selector.close();
-            throw new IOException("control: cannot listen on " + at + ": " + e.getMessage(), e);
+            throw new IOException("control: cannot listen on " + bindAddress + ": " + e.getMessage(), e);
         }
         thread = new Thread(this::run, "door");
         thread.setDaemon(true);
@@ -94,22 +94,23 @@
     private void run() {
         while (!closed) {
             try {
-                selector.select(TICK.toMillis());
+                selector.select(SELECT_TIMEOUT.toMillis());
                 for (SelectionKey key : selector.selectedKeys()) {
-                    if (key.attachment() instanceof Caller c) {
-                        turn(c);
+                    if (key.attachment() instanceof Caller caller) {
+                        serve(caller);
                     } else {
                         accept();
                     }
                 }
                 selector.selectedKeys().clear();
-                for (Reply r = replies.poll(); r != null; r = replies.poll()) {
-                    r.to().answer = StandardCharsets.UTF_8.encode(r.text());
-                    turn(r.to());
+                for (Reply reply = replies.poll(); reply != null; reply = replies.poll()) {
+                    reply.caller().reply = StandardCharsets.UTF_8.encode(reply.text());
+                    serve(reply.caller());
                 }
-                dismiss(clock.instant().minus(PATIENCE));
+                disconnectOlder(clock.instant().minus(CALL_TIMEOUT));
             } catch (IOException | RuntimeException | Error e) {
-                // neither a faulty call nor an Error (which the JVM throws when out of descriptors) may end the listener
+                // neither a faulty call nor an Error (which the JVM throws when out of descriptors) may end the
+                // listener
                 // for all other callers
                 if (!closed) {
                     LOG.log(Level.WARNING, "the admin listener continues after a failure", e);
@@ -122,25 +123,25 @@
     private void accept() {
         try {
             for (SocketChannel next = listener.accept(); next != null; next = listener.accept()) {
-                if (selector.keys().size() > MOST_CALLERS) {
+                if (selector.keys().size() > MAX_CALLERS) {
                     selector.keys().stream()
                             .map(SelectionKey::attachment)
                             .filter(Caller.class::isInstance)
                             .map(Caller.class::cast)
-                            .filter(c -> !c.called)
-                            .min(Comparator.comparing(c -> c.since))
-                            .ifPresent(AdminServer::end);
+                            .filter(c -> !c.commandSent)
+                            .min(Comparator.comparing(c -> c.connectedAt))
+                            .ifPresent(AdminServer::disconnect);
                 }
                 next.setOption(StandardSocketOptions.TCP_NODELAY, true);
                 new Caller(next, selector, clock.instant());
             }
-            refused = false;
+            acceptFailureLogged = false;
         } catch (IOException e) {
-            if (!refused) {
-                refused = true;
+            if (!acceptFailureLogged) {
+                acceptFailureLogged = true;
                 LOG.warning("the admin listener could not accept a caller: " + e);
             }
-            dismiss(clock.instant().minus(PATIENCE.dividedBy(2))); // the process may be out of descriptors
+            disconnectOlder(clock.instant().minus(CALL_TIMEOUT.dividedBy(2))); // the process may be out of descriptors
             pause();
         }
     }
@@ -148,62 +149,63 @@
     /** Avoids a busy loop: a connection that could not be accepted makes the next select return at once. */
     private static void pause() {
         try {
-            Thread.sleep(AGAIN.toMillis());
+            Thread.sleep(RETRY_DELAY.toMillis());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private void turn(Caller c) {
+    private void serve(Caller caller) {
         try {
-            // a key stays marked as readable from its last select: without the check the command would run again when its
+            // a key stays marked as readable from its last select: without the check the command would run again when
+            // its
             // reply comes, and undo what was since set through another process
-            if (!c.called && c.key.isValid() && c.key.isReadable()) {
-                read(c);
+            if (!caller.commandSent && caller.key.isValid() && caller.key.isReadable()) {
+                read(caller);
             }
-            if (c.answer != null) {
-                c.channel.write(c.answer);
-                if (c.answer.hasRemaining()) {
-                    c.key.interestOps(SelectionKey.OP_WRITE);
+            if (caller.reply != null) {
+                caller.channel.write(caller.reply);
+                if (caller.reply.hasRemaining()) {
+                    caller.key.interestOps(SelectionKey.OP_WRITE);
                 } else {
-                    end(c);
+                    disconnect(caller);
                 }
             }
         } catch (IOException | RuntimeException e) {
-            end(c); // the caller has disconnected
+            disconnect(caller); // the caller has disconnected
         }
     }
 
-    private void read(Caller c) throws IOException {
-        int count = c.channel.read(c.line);
-        int end = 0;
-        while (end < c.line.position() && c.line.get(end) != '\n') {
-            end++;
+    private void read(Caller caller) throws IOException {
+        int count = caller.channel.read(caller.line);
+        int lineLength = 0;
+        while (lineLength < caller.line.position() && caller.line.get(lineLength) != '\n') {
+            lineLength++;
         }
-        if (end < c.line.position()) {
-            c.called = true;
-            c.key.interestOps(0);
-            handler.call(new String(c.line.array(), 0, end, StandardCharsets.UTF_8).strip(), text -> {
-                replies.add(new Reply(c, text));
+        if (lineLength < caller.line.position()) {
+            caller.commandSent = true;
+            caller.key.interestOps(0);
+            handler.call(new String(caller.line.array(), 0, lineLength, StandardCharsets.UTF_8).strip(), text -> {
+                replies.add(new Reply(caller, text));
                 selector.wakeup();
             });
-        } else if (count < 0 || !c.line.hasRemaining()) {
-            end(c);
+        } else if (count < 0 || !caller.line.hasRemaining()) {
+            disconnect(caller);
         }
     }
 
-    private void dismiss(Instant before) {
+    private void disconnectOlder(Instant connectedBefore) {
         for (SelectionKey key : selector.keys()) {
-            if (key.attachment() instanceof Caller c && c.since.isBefore(before)) {
-                end(c);
+            if (key.attachment() instanceof Caller caller && caller.connectedAt.isBefore(connectedBefore)) {
+                disconnect(caller);
             }
         }
     }
 
-    private static void end(Caller c) {
-        c.key.cancel();
+    private static void disconnect(Caller caller) {
+        caller.key.cancel();
         try {
-            c.channel.close();
+            caller.channel.close();
         } catch (IOException e) {
             LOG.finest("closing a caller's connection failed");
         }
--- a/src/main/java/copperbeam/transport/BoundedParser.java
+++ b/src/main/java/copperbeam/transport/BoundedParser.java
@@ -22,20 +22,20 @@
  * no truncated head taken for a complete one, and no contradictory body lengths (against request smuggling).
  */
 final class BoundedParser<T extends HttpMessage> implements NHttpMessageParser<T> {
-    static final int MOST_HEAD = 16 * 1024;
+    static final int MAX_HEAD_BYTES = 16 * 1024;
     /** UTF-8 for all heads, read and written, as names in the settings are; HttpCore's default is one byte a character. */
-    static final CharCodingConfig CODING = CharCodingConfig.custom()
+    static final CharCodingConfig HEAD_CODING = CharCodingConfig.custom()
             .setCharset(StandardCharsets.UTF_8)
             .setMalformedInputAction(CodingErrorAction.REPLACE)
             .setUnmappableInputAction(CodingErrorAction.REPLACE)
             .build();
 
-    private static final Pattern LENGTH = Pattern.compile("[0-9]{1,18}");
+    private static final Pattern CONTENT_LENGTH_PATTERN = Pattern.compile("[0-9]{1,18}");
 
     private final NHttpMessageParser<T> parser;
     private final boolean strict;
-    private int read; // bytes of the complete lines of the current head
-    private boolean blank; // the last line read was empty
+    private int headBytes; // bytes of the complete lines of the current head
+    private boolean lastLineEmpty; // the last line read was empty
     private volatile boolean partial;
 
     /** {@code strict}: also checks the body's length and the characters of the head, as needed for requests. */
@@ -45,41 +45,42 @@
     }
 
     /** Whether a head has begun and is not complete. */
-    boolean partial() {
+    boolean isPartial() {
         return partial;
     }
 
     @Override
     public void reset() {
         parser.reset();
-        read = 0;
+        headBytes = 0;
         partial = false;
     }
 
     @Override
     public T parse(SessionInputBuffer buffer, boolean endOfStream) throws IOException, HttpException {
-        T head = parser.parse(new Lines(buffer), endOfStream);
-        if (read + (head == null ? buffer.length() : 0) > MOST_HEAD) {
-            throw new RequestHeaderFieldsTooLargeException("the head is larger than " + MOST_HEAD + " bytes");
+        T head = parser.parse(new CountingBuffer(buffer), endOfStream);
+        if (headBytes + (head == null ? buffer.length() : 0) > MAX_HEAD_BYTES) {
+            throw new RequestHeaderFieldsTooLargeException("the head is larger than " + MAX_HEAD_BYTES + " bytes");
         }
-        if (head != null && !blank) {
+        if (head != null && !lastLineEmpty) {
             throw new ConnectionClosedException("the connection ended within a head");
         }
         if (head != null && strict) {
-            framing(head);
-            text(head);
+            checkBodyLength(head);
+            checkCharacters(head);
         }
-        partial = head == null && (read > 0 || buffer.hasData());
+        partial = head == null && (headBytes > 0 || buffer.hasData());
         return head;
     }
 
-    private static void framing(HttpMessage head) throws HttpException {
+    private static void checkBodyLength(HttpMessage head) throws HttpException {
         Header[] lengths = head.getHeaders(HttpHeaders.CONTENT_LENGTH);
         Header[] codings = head.getHeaders(HttpHeaders.TRANSFER_ENCODING);
         if (lengths.length + codings.length > 1) {
             throw new ProtocolException("more than one word on the body's length");
         }
-        if (lengths.length == 1 && !LENGTH.matcher(lengths[0].getValue()).matches()) {
+        if (lengths.length == 1
+                && !CONTENT_LENGTH_PATTERN.matcher(lengths[0].getValue()).matches()) {
             throw new ProtocolException("Content-Length is no length");
         }
         if (codings.length == 1 && !codings[0].getValue().equalsIgnoreCase("chunked")) {
@@ -88,7 +89,7 @@
     }
 
     /** Rejects control characters, which HttpCore would forward as a space or a question mark. */
-    private static void text(HttpMessage head) throws HttpException {
+    private static void checkCharacters(HttpMessage head) throws HttpException {
         if (head instanceof HttpRequest request
                 && !request.getRequestUri().chars().allMatch(c -> c > 32 && c < 127)) {
             throw new ProtocolException("the target is none");
@@ -101,21 +102,21 @@
     }
 
     /** Counts the bytes of the lines that the parser reads. */
-    private final class Lines extends BufferView {
-        Lines(SessionInputBuffer buffer) {
+    private final class CountingBuffer extends BufferView {
+        CountingBuffer(SessionInputBuffer buffer) {
             super(buffer);
         }
 
         @Override
         public boolean readLine(CharArrayBuffer line, boolean endOfStream) throws IOException {
-            int before = length();
-            boolean whole = super.readLine(line, endOfStream);
-            if (whole) {
-                blank = line.isEmpty();
+            int lengthBefore = length();
+            boolean complete = super.readLine(line, endOfStream);
+            if (complete) {
+                lastLineEmpty = line.isEmpty();
                 // an empty line that some clients send after a body begins no head; HttpCore accepts only a few of them
-                read += blank && read == 0 ? 0 : before - length();
+                headBytes += lastLineEmpty && headBytes == 0 ? 0 : lengthBefore - length();
             }
-            return whole;
+            return complete;
         }
     }
 }
--- a/src/main/java/copperbeam/transport/BufferView.java
+++ b/src/main/java/copperbeam/transport/BufferView.java
@@ -41,8 +41,8 @@
     }
 
     @Override
-    public final int read(ByteBuffer to, int most) {
-        return buffer.read(to, most);
+    public final int read(ByteBuffer to, int maxBytes) {
+        return buffer.read(to, maxBytes);
     }
 
     @Override
@@ -51,8 +51,8 @@
     }
 
     @Override
-    public final int read(WritableByteChannel to, int most) throws IOException {
-        return buffer.read(to, most);
+    public final int read(WritableByteChannel to, int maxBytes) throws IOException {
+        return buffer.read(to, maxBytes);
     }
 
     @Override
--- a/src/main/java/copperbeam/transport/Chunks.java
+++ b/src/main/java/copperbeam/transport/Chunks.java
@@ -24,9 +24,10 @@
             SessionInputBuffer buffer,
             Http1Config config,
             BasicHttpTransportMetrics metrics,
-            int most,
-            Turn turn) {
-        return new Decoder(new ChunkDecoder(channel, new Sizes(buffer, most, turn), config, metrics));
+            int maxChunkBytes,
+            ReadBudget readBudget) {
+        return new Decoder(
+                new ChunkDecoder(channel, new SizeCheckingBuffer(buffer, maxChunkBytes, readBudget), config, metrics));
     }
 
     /**
@@ -34,22 +35,22 @@
      * HttpCore would read chunks for as long as there are any, so that a fast sender could block all other connections and
      * exceed its receive window.
      */
-    static final class Turn {
-        private final int most;
-        private int left;
+    static final class ReadBudget {
+        private final int maxBytes;
+        private int remaining;
 
-        Turn(int most) {
-            this.most = most;
-            left = most;
+        ReadBudget(int maxBytes) {
+            this.maxBytes = maxBytes;
+            remaining = maxBytes;
         }
 
-        void begin() {
-            left = most;
+        void reset() {
+            remaining = maxBytes;
         }
 
         /** Whether the limit was reached, so that more input may be available. */
-        boolean spent() {
-            return left <= 0;
+        boolean isSpent() {
+            return remaining <= 0;
         }
     }
 
@@ -57,45 +58,46 @@
      * Checks each chunk-size line. Rejects sizes with a sign, with which HttpCore would read its buffer backwards, and chunks
      * of gigabytes.
      */
-    private static final class Sizes extends BufferView {
-        private static final Pattern SIZE = Pattern.compile("[0-9a-fA-F]{1,15}"); // compiled once, as it is used for each event of a stream
-        private final int most;
-        private final Turn turn;
-        private boolean last;
-
-        Sizes(SessionInputBuffer buffer, int most, Turn turn) {
+    private static final class SizeCheckingBuffer extends BufferView {
+        private static final Pattern SIZE_PATTERN =
+                Pattern.compile("[0-9a-fA-F]{1,15}"); // compiled once, as it is used for each event of a stream
+        private final int maxChunkBytes;
+        private final ReadBudget readBudget;
+        private boolean lastChunkSeen;
+
+        SizeCheckingBuffer(SessionInputBuffer buffer, int maxChunkBytes, ReadBudget readBudget) {
             super(buffer);
-            this.most = most;
-            this.turn = turn;
+            this.maxChunkBytes = maxChunkBytes;
+            this.readBudget = readBudget;
         }
 
         @Override
         public int fill(ReadableByteChannel from) throws IOException {
-            if (turn.spent()) {
+            if (readBudget.isSpent()) {
                 return 0;
             }
             int count = super.fill(from);
-            turn.left -= count;
+            readBudget.remaining -= count;
             return count;
         }
 
         @Override
         public boolean readLine(CharArrayBuffer line, boolean endOfStream) throws IOException {
-            boolean whole = super.readLine(line, endOfStream);
-            if (whole && !last && !line.isEmpty()) {
-                last = size(line.toString()) == 0;
+            boolean lineComplete = super.readLine(line, endOfStream);
+            if (lineComplete && !lastChunkSeen && !line.isEmpty()) {
+                lastChunkSeen = parseSize(line.toString()) == 0;
             }
-            return whole;
+            return lineComplete;
         }
 
-        private long size(String line) throws IOException {
+        private long parseSize(String line) throws IOException {
             int extension = line.indexOf(';');
             String digits = (extension < 0 ? line : line.substring(0, extension)).strip();
-            if (!SIZE.matcher(digits).matches()) {
+            if (!SIZE_PATTERN.matcher(digits).matches()) {
                 throw new MalformedChunkCodingException("malformed chunk size");
             }
             long size = Long.parseLong(digits, 16);
-            if (size > most) {
+            if (size > maxChunkBytes) {
                 throw new MalformedChunkCodingException("chunk too large: " + size + " bytes");
             }
             return size;
@@ -107,43 +109,43 @@
      * loses the chunk it has just read, and with it an event of the stream.
      */
     static final class Decoder implements ContentDecoder {
-        private final ChunkDecoder chunks;
-        private IOException late;
+        private final ChunkDecoder delegate;
+        private IOException deferredError;
 
-        private Decoder(ChunkDecoder chunks) {
-            this.chunks = chunks;
+        private Decoder(ChunkDecoder delegate) {
+            this.delegate = delegate;
         }
 
         /** The error that follows the delivered data, or null; the next {@link #read} throws it as well. */
-        IOException late() {
-            return late;
+        IOException deferredError() {
+            return deferredError;
         }
 
         @Override
         public int read(ByteBuffer to) throws IOException {
-            if (late != null) {
-                throw late;
+            if (deferredError != null) {
+                throw deferredError;
             }
-            int before = to.position();
+            int startPosition = to.position();
             try {
-                return chunks.read(to);
+                return delegate.read(to);
             } catch (IOException e) {
-                late = e;
-                if (to.position() == before) {
+                deferredError = e;
+                if (to.position() == startPosition) {
                     throw e;
                 }
-                return to.position() - before;
+                return to.position() - startPosition;
             }
         }
 
         @Override
         public boolean isCompleted() {
-            return late == null && chunks.isCompleted();
+            return deferredError == null && delegate.isCompleted();
         }
 
         @Override
         public List<? extends Header> getTrailers() {
-            return chunks.getTrailers();
+            return delegate.getTrailers();
         }
     }
 }
--- a/src/main/java/copperbeam/transport/ClientExchange.java
+++ b/src/main/java/copperbeam/transport/ClientExchange.java
@@ -27,30 +27,30 @@
  * {@link #sendLastByte}, which may be called from any thread.
  */
 abstract class ClientExchange implements AsyncClientExchangeHandler {
-    private static final int WINDOW = 65_535; // HttpCore's initial receive window
+    private static final int INITIAL_WINDOW_BYTES = 65_535; // HttpCore's initial receive window
 
-    private static final int MOST_GATHERED = 4096;
-    private static final int MOST_INFORMATIONAL = 8; // 1xx heads before the response
+    private static final int MAX_GATHERED_BYTES = 4096;
+    private static final int MAX_INFORMATIONAL_HEADS = 8; // 1xx heads before the response
 
     private final ByteArrayOutputStream gathered = new ByteArrayOutputStream(0);
     private final HttpRequest request;
     private final ByteBuffer body;
-    private final boolean hold;
-    private volatile boolean let;
-    private volatile DataStreamChannel output;
-    private boolean told; // lastByteHeld was called
-    private final AtomicInteger owed = new AtomicInteger();
-    private volatile CapacityChannel capacity;
-    private volatile boolean written; // HttpCore has the last byte, and may still buffer it
-    private boolean left; // the operating system has taken it
-    private BooleanSupplier buffered = () -> false;
-    private int informational;
+    private final boolean holdLastByte;
+    private volatile boolean lastByteAllowed;
+    private volatile DataStreamChannel outputChannel;
+    private boolean holdReported; // lastByteHeld was called
+    private final AtomicInteger pendingGrantBytes = new AtomicInteger();
+    private volatile CapacityChannel capacityChannel;
+    private volatile boolean lastByteWritten; // HttpCore has the last byte, and may still buffer it
+    private boolean lastByteSent; // the operating system has taken it
+    private BooleanSupplier hasBufferedOutput = () -> false;
+    private int informationalHeads;
     private boolean reusedConnection;
     private boolean answeredEarly; // the response began before the last byte was sent
-    private final AtomicInteger held = new AtomicInteger(); // received, but not granted again yet
-    private volatile boolean over;
-    private boolean whole;
-    private boolean closing;
+    private final AtomicInteger ungrantedBytes = new AtomicInteger(); // received, but not granted again yet
+    private volatile boolean ended;
+    private boolean complete;
+    private boolean connectionClosing;
     private Exception cause;
 
     /** {@code body} may be null. */
@@ -59,26 +59,26 @@
     }
 
     /** {@code holdLastByte}: hold back the last byte of the body until {@link #sendLastByte}; no effect without a body. */
-    ClientExchange(HttpRequest request, byte[] body, boolean hold) {
+    ClientExchange(HttpRequest request, byte[] body, boolean holdLastByte) {
         this.request = request;
-        this.hold = hold;
+        this.holdLastByte = holdLastByte;
         this.body = body == null ? null : ByteBuffer.wrap(body);
     }
 
     /** Whether the head may still be sent. */
-    boolean mayBegin() {
+    boolean maySendHead() {
         return true;
     }
 
     /** Called just before the head is sent, to set headers that depend on the time. */
-    void leaves(HttpRequest head) {}
+    void prepareHead(HttpRequest head) {}
 
     abstract void head(HttpResponse response) throws HttpException;
 
     /** Receives a part of the response body. The receiver must {@link #grant} the bytes once it has processed them. */
     abstract void data(ByteBuffer bytes) throws IOException;
 
-    abstract void whole(boolean reusable);
+    abstract void completed(boolean reusable);
 
     /**
      * The exchange ended before the response was complete. {@code mayHaveRun}: the last byte of the request was handed to the
@@ -87,7 +87,7 @@
     abstract void broken(boolean mayHaveRun);
 
     /** Whether the last byte may still be sent. */
-    boolean wanted() {
+    boolean maySendLastByte() {
         return true;
     }
 
@@ -95,14 +95,14 @@
     void sent() {}
 
     /** The operating system has taken all but the last byte, which is held back. */
-    void held() {}
+    void lastByteHeld() {}
 
     /**
      * Attaches the exchange to a connection. {@code hasBufferedOutput}: whether HttpCore buffers output that the operating
      * system hasn't taken yet. {@code reused}: the connection has carried a call before.
      */
-    final void on(BooleanSupplier buffered, boolean reused) {
-        this.buffered = buffered;
+    final void attach(BooleanSupplier hasBufferedOutput, boolean reused) {
+        this.hasBufferedOutput = hasBufferedOutput;
         reusedConnection = reused;
     }
 
@@ -115,23 +115,23 @@
     }
 
     /** Whether the last byte, which was held back, is now in HttpCore's buffer and would be sent next. */
-    final boolean aboutToGo() {
-        return hold && lastByteHere();
+    final boolean isHeldByteNext() {
+        return holdLastByte && isLastByteBuffered();
     }
 
     /** Whether the last byte is in HttpCore's buffer but must no longer be sent. */
-    final boolean unwanted() {
-        return lastByteHere() && !wanted();
+    final boolean mustWithholdLastByte() {
+        return isLastByteBuffered() && !maySendLastByte();
     }
 
-    private boolean lastByteHere() {
-        return written && !over && buffered.getAsBoolean();
+    private boolean isLastByteBuffered() {
+        return lastByteWritten && !ended && hasBufferedOutput.getAsBoolean();
     }
 
     /** Called after each turn in which output may have been written. */
-    final void wrote() {
-        if (body != null && written && !left && !over && !buffered.getAsBoolean()) {
-            left = true;
+    final void afterOutput() {
+        if (body != null && lastByteWritten && !lastByteSent && !ended && !hasBufferedOutput.getAsBoolean()) {
+            lastByteSent = true;
             sent();
         }
     }
@@ -139,9 +139,9 @@
     /** Keeps the first {@link #MAX_GATHERED_BYTES} of a short response body. */
     final void gather(ByteBuffer bytes) {
         grant(bytes.remaining());
-        byte[] next = new byte[Math.min(bytes.remaining(), MOST_GATHERED - gathered.size())];
-        bytes.get(next);
-        gathered.writeBytes(next);
+        byte[] kept = new byte[Math.min(bytes.remaining(), MAX_GATHERED_BYTES - gathered.size())];
+        bytes.get(kept);
+        gathered.writeBytes(kept);
         bytes.position(bytes.limit());
     }
 
@@ -150,26 +150,26 @@
     }
 
     /** Allows the last byte to be sent; callable from any thread. */
-    final void let() {
-        let = true;
-        DataStreamChannel channel = output;
+    final void sendLastByte() {
+        lastByteAllowed = true;
+        DataStreamChannel channel = outputChannel;
         if (channel != null) {
             channel.requestOutput();
         }
     }
 
     /** Whether the receive window is about used up, because the receiver of the data is slow. */
-    final boolean windowUsed() {
-        return held.get() > WINDOW / 2;
+    final boolean isWindowUsed() {
+        return ungrantedBytes.get() > INITIAL_WINDOW_BYTES / 2;
     }
 
     final void grant(int bytes) {
-        held.addAndGet(-bytes);
-        owed.addAndGet(bytes);
-        CapacityChannel channel = capacity;
+        ungrantedBytes.addAndGet(-bytes);
+        pendingGrantBytes.addAndGet(bytes);
+        CapacityChannel channel = capacityChannel;
         if (channel != null) {
             try {
-                channel.update(owed.getAndSet(0));
+                channel.update(pendingGrantBytes.getAndSet(0));
             } catch (IOException e) {
                 // the connection is closed, of which the exchange is notified separately
             }
@@ -178,56 +178,57 @@
 
     @Override
     public final void produceRequest(RequestChannel channel, HttpContext context) throws HttpException, IOException {
-        if (!mayBegin()) {
+        if (!maySendHead()) {
             throw new IOException("the request may no longer be sent"); // closes the connection before anything is sent
         }
         // set before the last byte can be sent: unless it is known to be unsent, the request may have run
-        written = body == null;
-        leaves(request);
+        lastByteWritten = body == null;
+        prepareHead(request);
         channel.sendRequest(request, body == null ? null : new BasicEntityDetails(body.remaining(), null), context);
     }
 
     @Override
     public final int available() {
-        return body == null || written ? 0 : body.remaining() - kept();
+        return body == null || lastByteWritten ? 0 : body.remaining() - heldByteCount();
     }
 
     @Override
     public final void produce(DataStreamChannel channel) throws IOException {
-        if (body == null || written) {
+        if (body == null || lastByteWritten) {
             return;
         }
-        output = channel;
-        int kept = kept();
-        if (kept == 0 && !wanted()) {
+        outputChannel = channel;
+        int heldByteCount = heldByteCount();
+        if (heldByteCount == 0 && !maySendLastByte()) {
             throw new IOException(
                     "the last byte of the request may no longer be sent"); // closes the connection, the byte unsent
         }
-        if (body.remaining() > kept) {
-            body.limit(body.limit() - kept);
+        if (body.remaining() > heldByteCount) {
+            body.limit(body.limit() - heldByteCount);
             try {
                 channel.write(body);
             } finally {
-                body.limit(body.limit() + kept);
+                body.limit(body.limit() + heldByteCount);
             }
         }
         if (!body.hasRemaining()) {
-            written = true;
+            lastByteWritten = true;
             channel.endStream(null);
-        } else if (kept == body.remaining() && !told && !buffered.getAsBoolean()) {
-            told = true; // only once HttpCore's buffer is empty: the hold must not include the time to send the rest
-            held();
+        } else if (heldByteCount == body.remaining() && !holdReported && !hasBufferedOutput.getAsBoolean()) {
+            holdReported =
+                    true; // only once HttpCore's buffer is empty: the hold must not include the time to send the rest
+            lastByteHeld();
         }
     }
 
-    private int kept() {
-        return hold && !let ? Math.min(1, body.remaining()) : 0;
+    private int heldByteCount() {
+        return holdLastByte && !lastByteAllowed ? Math.min(1, body.remaining()) : 0;
     }
 
     /** Rejects a switch of protocols and an endless sequence of 1xx heads, after which no response would come. */
     @Override
     public final void consumeInformation(HttpResponse response, HttpContext context) throws HttpException {
-        if (response.getCode() == HttpStatus.SC_SWITCHING_PROTOCOLS || ++informational > MOST_INFORMATIONAL) {
+        if (response.getCode() == HttpStatus.SC_SWITCHING_PROTOCOLS || ++informationalHeads > MAX_INFORMATIONAL_HEADS) {
             throw new ProtocolException("informational heads in place of an answer");
         }
     }
@@ -235,7 +236,7 @@
     @Override
     public final void consumeResponse(HttpResponse response, EntityDetails entity, HttpContext context)
             throws HttpException {
-        if (body != null && (!written || buffered.getAsBoolean())) {
+        if (body != null && (!lastByteWritten || hasBufferedOutput.getAsBoolean())) {
             if (reusedConnection) {
                 // no server can have started this request, so this belongs to the previous one: a second response to it
                 throw new ProtocolException("response to an earlier request on this connection");
@@ -243,7 +244,7 @@
             answeredEarly = true;
         }
         Header connection = response.getFirstHeader("Connection");
-        closing = connection != null && connection.getValue().equalsIgnoreCase("close");
+        connectionClosing = connection != null && connection.getValue().equalsIgnoreCase("close");
         head(response);
         if (entity == null) {
             finish();
@@ -253,13 +254,13 @@
     @Override
     public final void updateCapacity(CapacityChannel channel) {
         // Called only when the window is used up. Bytes granted before must be passed on now, or the stream stalls.
-        capacity = channel;
+        capacityChannel = channel;
         grant(0);
     }
 
     @Override
     public final void consume(ByteBuffer bytes) throws IOException {
-        held.addAndGet(bytes.remaining());
+        ungrantedBytes.addAndGet(bytes.remaining());
         data(bytes);
     }
 
@@ -269,9 +270,9 @@
     }
 
     private void finish() {
-        if (!over) {
-            whole = true;
-            over = true;
+        if (!ended) {
+            complete = true;
+            ended = true;
         }
     }
 
@@ -280,36 +281,37 @@
         return cause;
     }
 
-    final boolean ended() {
-        return over;
+    final boolean isEnded() {
+        return ended;
     }
 
     /** Reports a complete response, once all available input was read. {@code connectionOpen}: the connection is still open. */
-    final void settle(boolean open) {
-        if (whole) {
-            whole(open && !closing && !answeredEarly);
+    final void reportCompletion(boolean connectionOpen) {
+        if (complete) {
+            completed(connectionOpen && !connectionClosing && !answeredEarly);
         }
     }
 
     @Override
     public final void failed(Exception cause) {
         this.cause = this.cause == null ? cause : this.cause;
-        // RequestNotExecutedException may come on the caller's thread, which must not access the buffer of the reactor's thread.
-        boolean never = cause instanceof RequestNotExecutedException;
+        // RequestNotExecutedException may come on the caller's thread, which must not access the buffer of the
+        // reactor's thread.
+        boolean notExecuted = cause instanceof RequestNotExecutedException;
         // Output that HttpCore still buffers now, which includes the last byte of the request, was never sent.
-        fail(() -> written && (never || !buffered.getAsBoolean()));
+        fail(() -> lastByteWritten && (notExecuted || !hasBufferedOutput.getAsBoolean()));
     }
 
     private void fail(BooleanSupplier mayHaveRun) {
-        if (!over) {
-            over = true;
+        if (!ended) {
+            ended = true;
             broken(mayHaveRun.getAsBoolean());
         }
     }
 
     @Override
     public final void cancel() {
-        fail(() -> written);
+        fail(() -> lastByteWritten);
     }
 
     @Override
--- a/src/main/java/copperbeam/transport/ClientReactor.java
+++ b/src/main/java/copperbeam/transport/ClientReactor.java
@@ -52,49 +52,51 @@
  */
 public final class ClientReactor implements AutoCloseable {
     /** Notified about one connection; {@code closed} is called once, also if the connection was never established. */
-    interface Life {
-        void up(IOSession session);
+    interface SessionListener {
+        void opened(IOSession session);
 
-        void down();
+        void closed();
     }
 
     /** Counts the connection, and keeps Errors of the wrapped listener from the reactor's thread, which they would end. */
-    private final class CountedLife implements Life {
-        private final Life life;
+    private final class CountingListener implements SessionListener {
+        private final SessionListener listener;
         private final AtomicBoolean counted = new AtomicBoolean(true);
 
-        CountedLife(Life life) {
-            this.life = life;
-            connections.incrementAndGet();
+        CountingListener(SessionListener listener) {
+            this.listener = listener;
+            connectionCount.incrementAndGet();
         }
 
         @Override
-        public void up(IOSession session) {
+        public void opened(IOSession session) {
             try {
-                life.up(session);
+                listener.opened(session);
             } catch (Error e) {
-                Problems.broken(e);
+                ReactorErrors.logAndWrap(e);
                 session.close(CloseMode.IMMEDIATE);
             }
         }
 
         @Override
-        public void down() {
+        public void closed() {
             if (counted.getAndSet(false)) {
-                connections.decrementAndGet();
+                connectionCount.decrementAndGet();
             }
             try {
-                life.down();
+                listener.closed();
             } catch (Error e) {
-                Problems.broken(e);
+                ReactorErrors.logAndWrap(e);
             }
         }
     }
 
-    private static final int MOST_CHUNK = 1 << 20;
-    private static final int MOST_A_TURN = 64 * 1024; // per connection; the size of one receive window
-    private static final int MOST_TURNS_READ_OUT = 16; // of MAX_READ_BYTES_PER_TURN each, before the task of runAfterReading runs
-    private static final Duration HEAD_TIME = Duration.ofMillis(800); // from a head's first byte to its last; servers send it in one piece
+    private static final int MAX_CHUNK_BYTES = 1 << 20;
+    private static final int MAX_READ_BYTES_PER_TURN = 64 * 1024; // per connection; the size of one receive window
+    private static final int MAX_TURNS_TO_READ_ALL =
+            16; // of MAX_READ_BYTES_PER_TURN each, before the task of runAfterReading runs
+    private static final Duration HEAD_TIMEOUT =
+            Duration.ofMillis(800); // from a head's first byte to its last; servers send it in one piece
     private static final Http1Config CONFIG = Http1Config.custom()
             .setBufferSize(4096)
             .setMaxLineLength(8 * 1024)
@@ -105,15 +107,15 @@
             .build();
 
     // How long after its timeout a connect is cancelled here. HttpCore ends it at its timeout unless the clock steps.
-    private static final Duration CONNECT_GRACE = Duration.ofMillis(500);
+    private static final Duration CONNECT_CANCEL_DELAY = Duration.ofMillis(500);
 
     /** A connect under way. {@code deadlineNanos}: on the clock of System.nanoTime. */
-    private record Pending(Future<IOSession> connect, long due) {}
+    private record PendingConnect(Future<IOSession> future, long deadlineNanos) {}
 
     private final DefaultConnectingIOReactor reactor;
-    private final Queue<Pending> pending = new ConcurrentLinkedQueue<>();
-    private final AtomicInteger connections = new AtomicInteger();
-    private volatile boolean quiet;
+    private final Queue<PendingConnect> pendingConnects = new ConcurrentLinkedQueue<>();
+    private final AtomicInteger connectionCount = new AtomicInteger();
+    private volatile boolean quiescing;
 
     public ClientReactor() {
         IOReactorConfig config = IOReactorConfig.custom()
@@ -123,33 +125,33 @@
                 .setSelectInterval(TimeValue.ofMilliseconds(250))
                 .build();
         reactor = new DefaultConnectingIOReactor(
-                (session, life) -> handler(session, (Life) life),
+                (session, life) -> newHandler(session, (SessionListener) life),
                 config,
                 task -> new Thread(task, "to-servers"),
                 null,
-                Problems::report,
+                ReactorErrors::report,
                 null,
-                session -> standStillIfQuiet());
+                session -> blockIfQuiescing());
         reactor.start();
     }
 
-    static Handler handler(ProtocolIOSession session, Life life) {
+    static Handler newHandler(ProtocolIOSession session, SessionListener listener) {
         BoundedParser<HttpResponse> parser =
                 new BoundedParser<>(new DefaultHttpResponseParserFactory(CONFIG).create(), false);
-        return new Handler(new Duplexer(session, parser), parser, session, life);
+        return new Handler(new Duplexer(session, parser), parser, session, listener);
     }
 
     private static final class Duplexer extends ClientHttp1StreamDuplexer {
-        private final Chunks.Turn turn = new Chunks.Turn(MOST_A_TURN);
-        private Chunks.Decoder chunks;
-        private SessionOutputBuffer output;
+        private final Chunks.ReadBudget readBudget = new Chunks.ReadBudget(MAX_READ_BYTES_PER_TURN);
+        private Chunks.Decoder chunkDecoder;
+        private SessionOutputBuffer outputBuffer;
 
         Duplexer(ProtocolIOSession session, BoundedParser<HttpResponse> parser) {
             super(
                     session,
                     PROCESSOR,
                     CONFIG,
-                    BoundedParser.CODING,
+                    BoundedParser.HEAD_CODING,
                     null,
                     parser,
                     DefaultHttpRequestWriterFactory.INSTANCE.create(),
@@ -165,15 +167,15 @@
             if (length != ContentLengthStrategy.CHUNKED) {
                 return super.createContentDecoder(length, channel, buffer, metrics);
             }
-            chunks = Chunks.decoder(channel, buffer, CONFIG, metrics, MOST_CHUNK, turn);
-            return chunks;
+            chunkDecoder = Chunks.decoder(channel, buffer, CONFIG, metrics, MAX_CHUNK_BYTES, readBudget);
+            return chunkDecoder;
         }
 
         @Override
         protected ContentEncoder createContentEncoder(
                 long length, WritableByteChannel channel, SessionOutputBuffer buffer, BasicHttpTransportMetrics metrics)
                 throws HttpException {
-            output = buffer;
+            outputBuffer = buffer;
             return super.createContentEncoder(length, channel, buffer, metrics);
         }
 
@@ -181,12 +183,12 @@
          * Whether HttpCore still buffers output. It buffers small bodies and the ends of large ones, and writes them to the
          * socket on a later turn. The buffer is emptied from its front, and a failed write removes nothing from it.
          */
-        boolean buffered() {
-            return output != null && output.hasData();
+        boolean hasBufferedOutput() {
+            return outputBuffer != null && outputBuffer.hasData();
         }
 
-        IOException late() {
-            return chunks == null ? null : chunks.late();
+        IOException deferredError() {
+            return chunkDecoder == null ? null : chunkDecoder.deferredError();
         }
     }
 
@@ -198,167 +200,173 @@
         private final Duplexer duplexer;
         private final BoundedParser<HttpResponse> parser;
         private final ProtocolIOSession session;
-        private final Life life;
+        private final SessionListener listener;
         private volatile ClientExchange exchange;
-        private final AtomicReference<Runnable> readOut = new AtomicReference<>();
-        private Long headSince; // System.nanoTime when a partial head was first seen; null if there is none
-        private Timeout usual;
-        private boolean down;
-        private boolean used; // the connection has carried a call before
-
-        Handler(Duplexer duplexer, BoundedParser<HttpResponse> parser, ProtocolIOSession session, Life life) {
+        private final AtomicReference<Runnable> afterReading = new AtomicReference<>();
+        private Long headStartNanos; // System.nanoTime when a partial head was first seen; null if there is none
+        private Timeout usualTimeout;
+        private boolean closeReported;
+        private boolean reused; // the connection has carried a call before
+
+        Handler(
+                Duplexer duplexer,
+                BoundedParser<HttpResponse> parser,
+                ProtocolIOSession session,
+                SessionListener listener) {
             super(duplexer);
             this.duplexer = duplexer;
             this.parser = parser;
             this.session = session;
-            this.life = life;
+            this.listener = listener;
         }
 
-        void begin(ClientExchange next) {
-            next.on(duplexer::buffered, used);
-            used = true;
+        void startExchange(ClientExchange next) {
+            next.attach(duplexer::hasBufferedOutput, reused);
+            reused = true;
             exchange = next;
         }
 
         /** Runs the task as {@link ClientReactor#runAfterReading} says; callable from any thread. */
-        void readOut(Runnable then) {
-            readOut.set(then);
+        void runAfterReading(Runnable task) {
+            afterReading.set(task);
             session.setEvent(SelectionKey.OP_WRITE); // the reactor handles it after pending input
             if (!session.isOpen()) {
-                hasReadOut();
+                runAfterReadingTask();
             }
         }
 
-        private void hasReadOut() {
-            Runnable then = readOut.getAndSet(null);
-            if (then != null) {
-                then.run();
+        private void runAfterReadingTask() {
+            Runnable task = afterReading.getAndSet(null);
+            if (task != null) {
+                task.run();
             }
         }
 
-        private void readAll(IOSession open) throws IOException {
-            long before = -1;
-            for (int turn = 0; turn < MOST_TURNS_READ_OUT && open.isOpen() && before != received(); turn++) {
-                before = received();
-                inputReady(open, null);
+        private void readAvailable(IOSession ioSession) throws IOException {
+            long bytesBefore = -1;
+            for (int turn = 0;
+                    turn < MAX_TURNS_TO_READ_ALL && ioSession.isOpen() && bytesBefore != receivedBytes();
+                    turn++) {
+                bytesBefore = receivedBytes();
+                inputReady(ioSession, null);
             }
         }
 
-        private long received() {
+        private long receivedBytes() {
             return duplexer.getEndpointDetails().getReceivedBytesCount();
         }
 
         @Override
-        public void inputReady(IOSession open, ByteBuffer bytes) throws IOException {
-            duplexer.turn.begin();
+        public void inputReady(IOSession ioSession, ByteBuffer bytes) throws IOException {
+            duplexer.readBudget.reset();
             try {
-                super.inputReady(open, bytes);
-                if (duplexer.late() != null) {
-                    throw duplexer.late();
+                super.inputReady(ioSession, bytes);
+                if (duplexer.deferredError() != null) {
+                    throw duplexer.deferredError();
                 }
                 ClientExchange current = exchange;
-                if (parser.partial() && (current == null || current.ended())) {
-                    unasked(open);
+                if (parser.isPartial() && (current == null || current.isEnded())) {
+                    failUnsolicitedHead(ioSession);
                 }
-                headTime();
+                checkHeadTimeout();
             } catch (Error e) {
-                throw Problems.broken(e);
+                throw ReactorErrors.logAndWrap(e);
             } finally {
-                settle();
+                reportEnded();
             }
         }
 
         @Override
-        public void outputReady(IOSession open) throws IOException {
-            if (readOut.get() != null) {
+        public void outputReady(IOSession ioSession) throws IOException {
+            if (afterReading.get() != null) {
                 try {
-                    readAll(open);
+                    readAvailable(ioSession);
                 } finally {
-                    hasReadOut();
+                    runAfterReadingTask();
                 }
             }
             ClientExchange current = exchange;
-            if (current != null && current.unwanted()) {
-                exception(open, new IOException("the last byte of the request may no longer be sent"));
+            if (current != null && current.mustWithholdLastByte()) {
+                exception(ioSession, new IOException("the last byte of the request may no longer be sent"));
                 return;
             }
-            if (current != null && current.aboutToGo()) {
+            if (current != null && current.isHeldByteNext()) {
                 // Reads what has arrived since the select: if the server has closed the connection, the byte must stay.
-                inputReady(open, null);
-                if (open.isOpen() && parser.partial()) {
-                    unasked(open);
+                inputReady(ioSession, null);
+                if (ioSession.isOpen() && parser.isPartial()) {
+                    failUnsolicitedHead(ioSession);
                 }
-                if (!open.isOpen()) {
+                if (!ioSession.isOpen()) {
                     return;
                 }
             }
             if (current != null && current.answeredEarly()) {
-                open.clearEvent(SelectionKey.OP_WRITE);
+                ioSession.clearEvent(SelectionKey.OP_WRITE);
                 return;
             }
             try {
-                super.outputReady(open);
+                super.outputReady(ioSession);
                 ClientExchange last = exchange;
                 if (last != null) {
-                    last.wrote();
+                    last.afterOutput();
                 }
             } catch (Error e) {
-                throw Problems.broken(e);
+                throw ReactorErrors.logAndWrap(e);
             } finally {
-                settle();
+                reportEnded();
             }
         }
 
         @Override
-        public void timeout(IOSession open, Timeout timeout) throws IOException {
-            if (headSince != null && !headOverdue()) {
+        public void timeout(IOSession ioSession, Timeout timeout) throws IOException {
+            if (headStartNanos != null && !isHeadOverdue()) {
                 return; // HttpCore uses the wall clock, which may have stepped
             }
             try {
-                super.timeout(open, timeout);
+                super.timeout(ioSession, timeout);
             } finally {
-                settle();
+                reportEnded();
             }
         }
 
         @Override
-        public void exception(IOSession open, Exception cause) {
-            super.exception(open, cause);
-            settle();
+        public void exception(IOSession ioSession, Exception cause) {
+            super.exception(ioSession, cause);
+            reportEnded();
         }
 
         @Override
-        public void disconnected(IOSession closed) {
-            super.disconnected(closed);
-            settle();
+        public void disconnected(IOSession ioSession) {
+            super.disconnected(ioSession);
+            reportEnded();
         }
 
         /**
          * Closes a connection on which a partial head arrived while no response is due. The next response on it would be read
          * as the rest of that head, and its attempt would fail.
          */
-        private void unasked(IOSession open) {
-            exception(open, new IOException("partial response head without a request"));
+        private void failUnsolicitedHead(IOSession ioSession) {
+            exception(ioSession, new IOException("partial response head without a request"));
         }
 
         /** Enforces the time limit on a response head. Without it an attempt would wait until its client gives up. */
-        private void headTime() {
-            if (!parser.partial()) {
-                if (headSince != null) {
-                    headSince = null;
-                    session.setSocketTimeout(usual);
+        private void checkHeadTimeout() {
+            if (!parser.isPartial()) {
+                if (headStartNanos != null) {
+                    headStartNanos = null;
+                    session.setSocketTimeout(usualTimeout);
                 }
-            } else if (headSince == null) {
-                headSince = System.nanoTime();
-                usual = session.getSocketTimeout();
-                session.setSocketTimeout(Timeout.of(HEAD_TIME));
-            } else if (headOverdue()) {
+            } else if (headStartNanos == null) {
+                headStartNanos = System.nanoTime();
+                usualTimeout = session.getSocketTimeout();
+                session.setSocketTimeout(Timeout.of(HEAD_TIMEOUT));
+            } else if (isHeadOverdue()) {
                 exception(session, new IOException("response head not complete in time"));
             }
         }
 
-        private boolean headOverdue() {
-            return headSince != null && System.nanoTime() - headSince > HEAD_TIME.toNanos();
+        private boolean isHeadOverdue() {
+            return headStartNanos != null && System.nanoTime() - headStartNanos > HEAD_TIMEOUT.toNanos();
         }
 
         /**
@@ -366,22 +374,21 @@
          * closes the connection if anything follows the response, and such a connection must not be used again. HttpCore
          * doesn't report a connection that was closed by a reset, so this is checked here.
          */
-        private void settle() {
-            boolean open = session.isOpen();
+        private void reportEnded() {
+            boolean connectionOpen = session.isOpen();
             ClientExchange last = exchange;
-            if (last != null && last.ended()) {
+            if (last != null && last.isEnded()) {
                 exchange = null;
                 if (last.answeredEarly()) {
-                    session.close(
-                            CloseMode.IMMEDIATE); // now, as the next turn would send the rest of the request
-                    open = false;
+                    session.close(CloseMode.IMMEDIATE); // now, as the next turn would send the rest of the request
+                    connectionOpen = false;
                 }
-                last.settle(open && !duplexer.turn.spent());
+                last.reportCompletion(connectionOpen && !duplexer.readBudget.isSpent());
             }
-            if (!open && !down) {
-                down = true;
-                life.down();
-                hasReadOut();
+            if (!connectionOpen && !closeReported) {
+                closeReported = true;
+                listener.closed();
+                runAfterReadingTask();
             }
         }
     }
@@ -390,47 +397,47 @@
      * Returns the value of the Host header. The host name is passed explicitly because HttpHost would otherwise do a reverse
      * DNS lookup, which on a platform without DNS blocks the reactor, and all outgoing calls, until it times out.
      */
-    static HttpHost host(InetSocketAddress to) {
-        return new HttpHost(null, to.getAddress(), to.getHostString(), to.getPort());
+    static HttpHost httpHost(InetSocketAddress address) {
+        return new HttpHost(null, address.getAddress(), address.getHostString(), address.getPort());
     }
 
     /** Number of connections that are open or being opened. */
-    int connections() {
-        return connections.get();
+    int connectionCount() {
+        return connectionCount.get();
     }
 
-    void connect(InetSocketAddress to, Duration timeout, Life told) {
+    void connect(InetSocketAddress address, Duration timeout, SessionListener listener) {
         NamedEndpoint endpoint = new NamedEndpoint() {
             @Override
             public String getHostName() {
-                return to.getHostString();
+                return address.getHostString();
             }
 
             @Override
             public int getPort() {
-                return to.getPort();
+                return address.getPort();
             }
         };
-        Life life = new CountedLife(told);
-        Future<IOSession> connect =
-                reactor.connect(endpoint, to, null, Timeout.of(timeout), life, new FutureCallback<>() {
+        SessionListener countingListener = new CountingListener(listener);
+        Future<IOSession> future =
+                reactor.connect(endpoint, address, null, Timeout.of(timeout), countingListener, new FutureCallback<>() {
                     @Override
                     public void completed(IOSession session) {
-                        life.up(session);
+                        countingListener.opened(session);
                     }
 
                     @Override
                     public void failed(Exception e) {
-                        life.down();
+                        countingListener.closed();
                     }
 
                     @Override
                     public void cancelled() {
-                        life.down();
+                        countingListener.closed();
                     }
                 });
-        pending.add(new Pending(
-                connect, System.nanoTime() + timeout.plus(CONNECT_GRACE).toNanos()));
+        pendingConnects.add(new PendingConnect(
+                future, System.nanoTime() + timeout.plus(CONNECT_CANCEL_DELAY).toNanos()));
     }
 
     /**
@@ -440,23 +447,23 @@
      */
     public void cancelOverdue() {
         long now = System.nanoTime();
-        pending.removeIf(p -> {
-            boolean overdue = p.due - now < 0;
+        pendingConnects.removeIf(pendingConnect -> {
+            boolean overdue = pendingConnect.deadlineNanos - now < 0;
             if (overdue) {
-                p.connect.cancel(true);
+                pendingConnect.future.cancel(true);
             }
-            return overdue || p.connect.isDone();
+            return overdue || pendingConnect.future.isDone();
         });
     }
 
     static void execute(IOSession session, ClientExchange exchange) {
-        ((Handler) session.getHandler()).begin(exchange);
+        ((Handler) session.getHandler()).startExchange(exchange);
         session.enqueue(new RequestExecutionCommand(exchange, HttpCoreContext.create()), Command.Priority.NORMAL);
     }
 
     /** Runs {@code task} once everything received on this connection by now was read, or the connection has closed. */
-    static void readOut(IOSession session, Runnable then) {
-        ((Handler) session.getHandler()).readOut(then);
+    static void runAfterReading(IOSession session, Runnable task) {
+        ((Handler) session.getHandler()).runAfterReading(task);
     }
 
     /**
@@ -465,16 +472,17 @@
      * aren't reset, because a reset discards data that the kernel has yet to send.
      */
     public void quiesce() {
-        quiet = true;
-        // First cancels connects: they are no sessions, at whose close the thread would block, and nothing else wakes it.
-        pending.forEach(p -> p.connect.cancel(true));
+        quiescing = true;
+        // First cancels connects: they are no sessions, at whose close the thread would block, and nothing else wakes
+        // it.
+        pendingConnects.forEach(p -> p.future.cancel(true));
         reactor.initiateShutdown();
     }
 
     /** Called before HttpCore closes a session on shutdown; when quiescing, blocks the reactor's thread until the exit. */
-    private void standStillIfQuiet() {
+    private void blockIfQuiescing() {
         try {
-            if (quiet) {
+            if (quiescing) {
                 new CountDownLatch(1).await();
             }
         } catch (InterruptedException e) {
