--- a/src/main/java/copperbeam/transport/HttpFrontServer.java
+++ b/src/main/java/copperbeam/transport/HttpFrontServer.java
@@ -31,43 +31,49 @@
 /** Listens on one address and hands each request to a front. */
 public final class HttpFrontServer implements AutoCloseable {
     private static final Logger LOG = Logger.getLogger(HttpFrontServer.class.getName());
-    private static final Duration REQUEST_TIME = Duration.ofMillis(2400); // from a request's first byte to its last
-    private static final Duration SILENCE = Duration.ofMillis(2400); // from accept to a client's first byte
-    private static final Duration QUIET =
+    private static final Duration REQUEST_READ_TIMEOUT =
+            Duration.ofMillis(2400); // from a request's first byte to its last
+    private static final Duration FIRST_BYTE_TIMEOUT = Duration.ofMillis(2400); // from accept to a client's first byte
+    private static final Duration MIN_IDLE_BEFORE_CLOSE =
             Duration.ofMillis(50); // a client idle for less may have a request on its way
-    private static final Duration FLUSH_TIME = Duration.ofSeconds(1); // without write progress; then the client counts as not reading
-    private static final Duration LINGER = Duration.ofSeconds(1); // for the rest of a rejected request to arrive
+    private static final Duration FLUSH_TIMEOUT =
+            Duration.ofSeconds(1); // without write progress; then the client counts as not reading
+    private static final Duration LINGER_TIMEOUT =
+            Duration.ofSeconds(1); // for the rest of a rejected request to arrive
     /** Interval at which connections without I/O events are checked for timeouts. */
     public static final Duration TICK = Duration.ofMillis(200);
 
-    private static final Duration AGAIN = Duration.ofMillis(20); // between attempts to start a replacement reactor
-    private static final int MOST_HANDED_ON = 16; // accepted connections that the reactor has not registered yet
-    private static final int BUFFER = 4096;
-    private static final int READS_A_TURN = 16; // of discarded input, as other connections wait for the reactor
-    private static final int MOST_THROWN_AWAY = 4 << 20; // of one connection, after a rejected request
-    private static final int MOST_BODY_READS = ServerExchange.MOST_BODY / BUFFER;
-    static final Http1Config CONFIG = Http1Config.custom()
-            .setBufferSize(BUFFER)
+    private static final Duration RESTART_RETRY_DELAY =
+            Duration.ofMillis(20); // between attempts to start a replacement reactor
+    private static final int MAX_PENDING_CONNECTIONS =
+            16; // accepted connections that the reactor has not registered yet
+    private static final int BUFFER_BYTES = 4096;
+    private static final int MAX_DISCARD_READS_PER_EVENT =
+            16; // of discarded input, as other connections wait for the reactor
+    private static final int MAX_DISCARDED_BYTES = 4 << 20; // of one connection, after a rejected request
+    private static final int MAX_BODY_READS = ServerExchange.MAX_BODY_BYTES / BUFFER_BYTES;
+    static final Http1Config HTTP1_CONFIG = Http1Config.custom()
+            .setBufferSize(BUFFER_BYTES)
             .setMaxLineLength(8 * 1024)
             .setMaxHeaderCount(100)
             .build();
 
-    private final ClientRoom room;
+    private final ClientConnections allClients;
     private final Front front;
     private final Observer observer;
     private final Clock clock;
     private final AtomicBoolean closing = new AtomicBoolean();
-    private volatile Inlet inlet;
+    private volatile ActiveReactor active;
     private volatile boolean draining;
-    private volatile boolean leading;
-    private volatile boolean sealed;
-    private final AtomicInteger reading =
+    private volatile boolean closingIdle;
+    private volatile boolean readingPaused;
+    private final AtomicInteger activeReads =
             new AtomicInteger(); // reactor threads that read from a client, or are about to check whether they may
     private volatile Acceptor acceptor; // null until it listens
     private final ReactorTimers timers = new ReactorTimers();
 
     /** A reactor, and the number of connections handed to it but not registered yet; these are lost if it ends. */
-    private record Inlet(DefaultListeningIOReactor reactor, AtomicInteger handedOn) {}
+    private record ActiveReactor(DefaultListeningIOReactor reactor, AtomicInteger pendingConnections) {}
 
     /** Why a client's connection was closed here. */
     public enum CloseReason {
@@ -88,51 +94,51 @@
     /** Notified of events that the front does not see. */
     public interface Observer {
         /** A request was rejected before a front saw it. {@code requestClass}: its X-Priority-Class header, or null. */
-        void turnedAway(String requestClass, int status);
+        void requestRejected(String requestClass, int status);
 
         /** A client's connection was closed. */
-        default void closed(CloseReason reason) {}
+        default void connectionClosed(CloseReason reason) {}
     }
 
-    public HttpFrontServer(Front front, Clock clock, ClientRoom room, Observer observer) {
+    public HttpFrontServer(Front front, Clock clock, ClientConnections allClients, Observer observer) {
         this.front = front;
         this.observer = observer;
         this.clock = clock;
-        this.room = room;
-        inlet = inlet();
+        this.allClients = allClients;
+        active = startReactor();
     }
 
-    private Inlet inlet() {
+    private ActiveReactor startReactor() {
         IOReactorConfig config = IOReactorConfig.custom()
                 .setIoThreadCount(1)
                 .setTcpNoDelay(true)
                 .setSoTimeout(Timeout.of(TICK))
                 .setSelectInterval(TimeValue.of(TICK))
                 .build();
-        AtomicBoolean ended = new AtomicBoolean();
-        AtomicInteger handedOn = new AtomicInteger();
-        DefaultListeningIOReactor next = new DefaultListeningIOReactor(
-                (session, attachment) -> handler(session, (Instant) attachment, handedOn),
+        AtomicBoolean replaced = new AtomicBoolean();
+        AtomicInteger pendingConnections = new AtomicInteger();
+        DefaultListeningIOReactor reactor = new DefaultListeningIOReactor(
+                (session, attachment) -> newHandler(session, (Instant) attachment, pendingConnections),
                 config,
-                task -> thread(task, "from-clients", ended),
-                task -> thread(task, "unused", ended),
+                task -> newReactorThread(task, "from-clients", replaced),
+                task -> newReactorThread(task, "unused", replaced),
                 null,
-                Problems::report,
+                ReactorErrors::report,
                 null,
                 null);
-        next.start();
-        return new Inlet(next, handedOn);
+        reactor.start();
+        return new ActiveReactor(reactor, pendingConnections);
     }
 
     /** A thread of a reactor; the first one to end unexpectedly starts a replacement reactor. */
-    private Thread thread(Runnable task, String name, AtomicBoolean ended) {
+    private Thread newReactorThread(Runnable task, String name, AtomicBoolean replaced) {
         return new Thread(
                 () -> {
                     try {
                         task.run();
                     } finally { // also after an Error, such as a stack overflow
-                        if (!closing.get() && ended.compareAndSet(false, true)) {
-                            takeOver();
+                        if (!closing.get() && replaced.compareAndSet(false, true)) {
+                            replaceReactor();
                         }
                     }
                 },
@@ -143,18 +149,18 @@
      * Starts a replacement, retrying until it succeeds. A reactor may end when the process runs out of descriptors for a
      * moment; without a replacement no client would be served again.
      */
-    private void takeOver() {
+    private void replaceReactor() {
         LOG.warning("a reactor ended unexpectedly; starting a replacement");
-        inlet.reactor().initiateShutdown(); // its open connections continue until they close
+        active.reactor().initiateShutdown(); // its open connections continue until they close
         while (!closing.get()) {
             try {
-                inlet = inlet();
+                active = startReactor();
                 return;
             } catch (IllegalStateException e) {
                 LOG.fine(() -> "the replacement reactor could not start: " + e.getMessage());
             }
             try {
-                Thread.sleep(AGAIN.toMillis());
+                Thread.sleep(RESTART_RETRY_DELAY.toMillis());
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
                 return;
@@ -167,60 +173,66 @@
      * {@code MAX_PENDING_CONNECTIONS}, and all connections of clients as {@link ClientConnections} says. Without an active reactor
      * none may be accepted, as nobody would serve it.
      */
-    private boolean takes() {
-        Inlet now = inlet;
-        int coming = now.handedOn().get();
-        return now.reactor().getStatus() == IOReactorStatus.ACTIVE
-                && coming < MOST_HANDED_ON
-                && room.takes(coming, clock.instant());
+    private boolean canAccept() {
+        ActiveReactor target = active;
+        int pending = target.pendingConnections().get();
+        return target.reactor().getStatus() == IOReactorStatus.ACTIVE
+                && pending < MAX_PENDING_CONNECTIONS
+                && allClients.mayAccept(pending, clock.instant());
     }
 
-    private void take(SocketChannel channel, Instant queuedSince) {
-        Inlet now = inlet;
-        now.handedOn().incrementAndGet();
-        if (!Acceptor.Entrance.enter(now.reactor(), channel, queuedSince)) {
-            now.handedOn().decrementAndGet(); // else MAX_PENDING_CONNECTIONS failures would block accepting for good
+    private void handOver(SocketChannel channel, Instant queuedSince) {
+        ActiveReactor target = active;
+        target.pendingConnections().incrementAndGet();
+        if (!Acceptor.ReactorHandover.handOver(target.reactor(), channel, queuedSince)) {
+            target.pendingConnections()
+                    .decrementAndGet(); // else MAX_PENDING_CONNECTIONS failures would block accepting for good
         }
     }
 
-    private IOEventHandler handler(ProtocolIOSession session, Instant queuedSince, AtomicInteger handedOn) {
-        ClientRoom.Client client = room.enter(session, clock.instant());
+    private IOEventHandler newHandler(
+            ProtocolIOSession session, Instant queuedSince, AtomicInteger pendingConnections) {
+        ClientConnections.Client client = allClients.register(session, clock.instant());
         client.queuedSince = queuedSince;
-        handedOn.decrementAndGet(); // only after register(): a stop must see it in one of the two counts
-        RequestParser parser = new RequestParser(CONFIG);
-        return new Handler(
-                new RequestDuplexer(session, parser, client, (request, context) -> exchange(client)),
+        pendingConnections.decrementAndGet(); // only after register(): a stop must see it in one of the two counts
+        RequestParser parser = new RequestParser(HTTP1_CONFIG);
+        return new ConnectionHandler(
+                new RequestDuplexer(session, parser, client, (request, context) -> newExchange(client)),
                 parser,
                 session,
                 client);
     }
 
-    private ServerExchange exchange(ClientRoom.Client client) {
+    private ServerExchange newExchange(ClientConnections.Client client) {
         return new ServerExchange(
                 client,
-                room,
-                client.beyond || room.full() ? this::refuse : front,
+                allClients,
+                client.overLimit || allClients.isFull() ? this::refuseOverload : front,
                 clock,
                 () -> draining,
-                observer::turnedAway);
+                observer::requestRejected);
     }
 
     /** Handles one connection's I/O events, on the reactor's thread. */
-    private final class Handler extends ServerHttp1IOEventHandler {
+    private final class ConnectionHandler extends ServerHttp1IOEventHandler {
         private final RequestParser parser;
         private final ProtocolIOSession session;
-        private final ClientRoom.Client client;
+        private final ClientConnections.Client client;
         private final RequestDuplexer duplexer;
-        private boolean listening; // input is discarded; reads only detect the client's close
+        private boolean awaitingCloseOnly; // input is discarded; reads only detect the client's close
         private boolean lingering; // output is shut down, and the rest of a rejected request is discarded
-        private int thrownAway;
-        private int passedOver;
-        private Instant began; // when the incomplete request began; null: there is none
-        private long sent; // bytes written to the socket
-        private Instant sentAt = Instant.MIN; // when sentBytes was last seen to grow
-        private boolean looking; // within hasNewInput(): reads what came since the reactor's select
-
-        Handler(RequestDuplexer duplexer, RequestParser parser, ProtocolIOSession session, ClientRoom.Client client) {
+        private int discardedBytes;
+        private int ignoredBytes;
+        private Instant requestBeganAt; // when the incomplete request began; null: there is none
+        private long sentBytes; // bytes written to the socket
+        private Instant lastProgressAt = Instant.MIN; // when sentBytes was last seen to grow
+        private boolean rechecking; // within hasNewInput(): reads what came since the reactor's select
+
+        ConnectionHandler(
+                RequestDuplexer duplexer,
+                RequestParser parser,
+                ProtocolIOSession session,
+                ClientConnections.Client client) {
             super(duplexer);
             this.duplexer = duplexer;
             this.parser = parser;
@@ -229,117 +241,120 @@
         }
 
         @Override
-        public void inputReady(IOSession open, ByteBuffer bytes) throws IOException {
-            reading.incrementAndGet();
+        public void inputReady(IOSession ioSession, ByteBuffer bytes) throws IOException {
+            activeReads.incrementAndGet();
             try {
                 if (lingering) {
-                    throwAway(open);
-                    times();
-                    gone();
-                } else if (client.ending) {
-                    // HttpCore would complete a partly buffered request and dispatch it on a connection that is about to
+                    discardInput(ioSession);
+                    checkTimeouts();
+                    unregisterIfClosed();
+                } else if (client.ignoresInput) {
+                    // HttpCore would complete a partly buffered request and dispatch it on a connection that is about
+                    // to
                     // close; left unread, it is retried by its client
-                    open.clearEvent(SelectionKey.OP_READ);
-                    times();
-                    gone();
-                } else if (!sealed) {
-                    take(open, bytes);
+                    ioSession.clearEvent(SelectionKey.OP_READ);
+                    checkTimeouts();
+                    unregisterIfClosed();
+                } else if (!readingPaused) {
+                    handleInput(ioSession, bytes);
                 }
             } catch (Error e) {
-                throw Problems.broken(e);
+                throw ReactorErrors.logAndWrap(e);
             } finally {
-                reading.decrementAndGet();
+                activeReads.decrementAndGet();
             }
         }
 
-        private void take(IOSession open, ByteBuffer bytes) throws IOException {
-            duplexer.turn.begin();
+        private void handleInput(IOSession ioSession, ByteBuffer bytes) throws IOException {
+            duplexer.readBudget.reset();
             try {
-                read(open, bytes);
-                client.heard |= received() > 0;
-                readOn(open);
+                readOnce(ioSession, bytes);
+                client.hasReceived |= receivedBytes() > 0;
+                readAfterRequest(ioSession);
                 // HttpCore treats a client's half-close as a request to close after the answer; here it means that the
                 // client has gone, and its attempt must not run on with nobody to read the answer
-                if (client.busy() && parser.ended() && client.closeAt == null) {
-                    close(open, CloseMode.IMMEDIATE, CloseReason.CLIENT_ENDED);
+                if (client.isBusy() && parser.isInputEnded() && client.closeAt == null) {
+                    close(ioSession, CloseMode.IMMEDIATE, CloseReason.CLIENT_ENDED);
                 }
-                if (open.isOpen()) {
-                    client.whole.stream().filter(e -> !client.ending).forEach(ServerExchange::dispatch);
+                if (ioSession.isOpen()) {
+                    client.readyExchanges.stream()
+                            .filter(e -> !client.ignoresInput)
+                            .forEach(ServerExchange::dispatch);
                 }
-                client.whole.clear();
-                times();
+                client.readyExchanges.clear();
+                checkTimeouts();
             } finally {
-                gone();
+                unregisterIfClosed();
             }
         }
 
         @Override
-        public void outputReady(IOSession open) throws IOException {
+        public void outputReady(IOSession ioSession) throws IOException {
             try {
-                super.outputReady(open);
-                if (client.closeAt != null || leading || client.going() || client.due()) {
-                    times();
+                super.outputReady(ioSession);
+                if (client.closeAt != null || closingIdle || client.isAskedToClose() || client.pollCheckDue()) {
+                    checkTimeouts();
                 }
             } catch (Error e) {
-                throw Problems.broken(e);
+                throw ReactorErrors.logAndWrap(e);
             } finally {
-                gone();
+                unregisterIfClosed();
             }
         }
 
-        private boolean reads(IOSession open) {
-            return (open.getEventMask() & SelectionKey.OP_READ) != 0;
+        private boolean isReading(IOSession ioSession) {
+            return (ioSession.getEventMask() & SelectionKey.OP_READ) != 0;
         }
 
         /**
          * Before a front sees a complete request, reads what follows it, up to the maximum body length: the client may already
          * have closed the connection. HttpCore reads once per event, and handles a close only at the next event.
          */
-        private void readOn(IOSession open) throws IOException {
-            long before = -1;
-            for (int read = 0;
-                    read < MOST_BODY_READS
-                            && !client.whole.isEmpty()
-                            && open.isOpen()
-                            && reads(open)
-                            && (before != received() || !duplexer.isOpen());
-                    read++) {
-                before = received();
-                read(open, null);
+        private void readAfterRequest(IOSession ioSession) throws IOException {
+            long receivedBefore = -1;
+            for (int count = 0;
+                    count < MAX_BODY_READS
+                            && !client.readyExchanges.isEmpty()
+                            && ioSession.isOpen()
+                            && isReading(ioSession)
+                            && (receivedBefore != receivedBytes() || !duplexer.isOpen());
+                    count++) {
+                receivedBefore = receivedBytes();
+                readOnce(ioSession, null);
             }
         }
 
-        private void read(IOSession open, ByteBuffer bytes) throws IOException {
-            if (listening) {
-                passOver(open);
+        private void readOnce(IOSession ioSession, ByteBuffer bytes) throws IOException {
+            if (awaitingCloseOnly) {
+                ignoreInput(ioSession);
             } else {
-                super.inputReady(open, bytes);
-                listen(open);
+                super.inputReady(ioSession, bytes);
+                updateAwaitingClose(ioSession);
             }
         }
 
-        private long received() {
-            return passedOver + duplexer.getEndpointDetails().getReceivedBytesCount();
+        private long receivedBytes() {
+            return ignoredBytes + duplexer.getEndpointDetails().getReceivedBytesCount();
         }
 
         /**
          * Once requests are ignored while earlier ones are open, keeps reading only to detect the client's close, so that no
          * attempt runs on for a client that has gone.
          */
-        private void listen(IOSession open) {
-            listening = client.deaf && client.open() > 1;
-            if (listening) {
-                open.setEvent(SelectionKey.OP_READ);
+        private void updateAwaitingClose(IOSession ioSession) {
+            awaitingCloseOnly = client.ignoresRequests && client.openRequests() > 1;
+            if (awaitingCloseOnly) {
+                ioSession.setEvent(SelectionKey.OP_READ);
             }
         }
 
         /** Discards input; closes the connection at its end, or once it exceeds the maximum body length. */
-        private void passOver(IOSession open) throws IOException {
-            ByteBuffer bytes = ByteBuffer.allocate(BUFFER);
-            int count = open.read(bytes);
-            passedOver += count;
-            if (count < 0 || passedOver > ServerExchange.MOST_BODY) {
-                close(open, CloseMode.IMMEDIATE, count < 0 ? CloseReason.CLIENT_ENDED : CloseReason.TOO_MUCH);
+        private void ignoreInput(IOSession ioSession) throws IOException {
+            ByteBuffer bytes = ByteBuffer.allocate(BUFFER_BYTES);
+            int count = ioSession.read(bytes);
+            ignoredBytes += count;
+            if (count < 0 || ignoredBytes > ServerExchange.MAX_BODY_BYTES) {
+                close(ioSession, CloseMode.IMMEDIATE, count < 0 ? CloseReason.CLIENT_ENDED : CloseReason.TOO_MUCH);
             }
         }
 
@@ -347,7 +362,7 @@
          * Shuts down the output only and keeps reading. A close with unread input sends a TCP reset, and a client that is
          * still writing would lose the answer.
          */
-        private void linger() {
+        private void beginLinger() {
             lingering = true;
             try {
                 ((SocketChannel) session.channel()).shutdownOutput();
@@ -357,135 +372,143 @@
             }
         }
 
-        private void throwAway(IOSession open) throws IOException {
-            ByteBuffer bytes = ByteBuffer.allocate(BUFFER);
-            int count = open.read(bytes);
-            for (int reads = 1; count > 0 && reads < READS_A_TURN; reads++) {
-                thrownAway += count;
-                count = open.read(bytes.clear());
+        private void discardInput(IOSession ioSession) throws IOException {
+            ByteBuffer bytes = ByteBuffer.allocate(BUFFER_BYTES);
+            int count = ioSession.read(bytes);
+            for (int reads = 1; count > 0 && reads < MAX_DISCARD_READS_PER_EVENT; reads++) {
+                discardedBytes += count;
+                count = ioSession.read(bytes.clear());
             }
-            thrownAway += Math.max(0, count);
-            if (count < 0 || thrownAway > MOST_THROWN_AWAY) {
-                close(open, CloseMode.GRACEFUL, count < 0 ? CloseReason.ANSWERED : CloseReason.TOO_MUCH);
+            discardedBytes += Math.max(0, count);
+            if (count < 0 || discardedBytes > MAX_DISCARDED_BYTES) {
+                close(ioSession, CloseMode.GRACEFUL, count < 0 ? CloseReason.ANSWERED : CloseReason.TOO_MUCH);
             }
         }
 
         /** Called each {@link #TICK} on a connection without events. */
         @Override
-        public void timeout(IOSession open, Timeout timeout) {
-            times();
-            gone();
+        public void timeout(IOSession ioSession, Timeout timeout) {
+            checkTimeouts();
+            unregisterIfClosed();
         }
 
         @Override
-        public void exception(IOSession open, Exception cause) {
-            super.exception(open, cause);
-            gone();
+        public void exception(IOSession ioSession, Exception cause) {
+            super.exception(ioSession, cause);
+            unregisterIfClosed();
         }
 
         @Override
-        public void disconnected(IOSession closed) {
-            super.disconnected(closed);
-            gone();
+        public void disconnected(IOSession ioSession) {
+            super.disconnected(ioSession);
+            unregisterIfClosed();
         }
 
         /** Closes the connection if it is done or one of its timeouts has passed. */
-        private void times() {
+        private void checkTimeouts() {
             if (!session.isOpen()) {
                 return;
             }
             Instant now = clock.instant();
-            boolean flushed = flushed(now);
-            if (client.lingers && flushed && !lingering) {
-                linger();
+            boolean flushed = isFlushed(now);
+            if (client.lingersBeforeClose && flushed && !lingering) {
+                beginLinger();
             }
-            boolean left = flushed || stalled(now); // whether earlier answers are sent, or will never be
-            if (slow(now) && left) {
+            boolean outputDone = flushed || isWriteStalled(now); // whether earlier answers are sent, or will never be
+            if (isRequestLate(now) && outputDone) {
                 close(session, CloseMode.GRACEFUL, CloseReason.SLOW_REQUEST);
-            } else if (answered(now, flushed)) {
+            } else if (isDoneAnswering(now, flushed)) {
                 close(session, CloseMode.GRACEFUL, CloseReason.ANSWERED);
-            } else if (unused(now, flushed) && !heardSince()) {
-                close(session, CloseMode.GRACEFUL, client.heard ? CloseReason.IDLE : CloseReason.SILENT);
+            } else if (isUnused(now, flushed) && !hasNewInput()) {
+                close(session, CloseMode.GRACEFUL, client.hasReceived ? CloseReason.IDLE : CloseReason.SILENT);
             }
         }
 
         /** {@code connection}: not always the outer session, whose close has no effect after the client's half-close. */
         private void close(IOSession connection, CloseMode mode, CloseReason reason) {
-            observer.closed(reason);
+            observer.connectionClosed(reason);
             connection.close(mode);
         }
 
         /** Whether no output is waiting to be written to the socket; also records write progress. */
-        private boolean flushed(Instant now) {
+        private boolean isFlushed(Instant now) {
             long count = duplexer.getEndpointDetails().getSentBytesCount();
-            if (count != sent) {
-                sent = count;
-                sentAt = now;
+            if (count != sentBytes) {
+                sentBytes = count;
+                lastProgressAt = now;
             }
             return (session.getEventMask() & SelectionKey.OP_WRITE) == 0;
         }
 
         /** Whether there was no write progress for {@code FLUSH_TIMEOUT}, as the client does not read. */
-        private boolean stalled(Instant now) {
-            return sentAt.plus(FLUSH_TIME).isBefore(now);
+        private boolean isWriteStalled(Instant now) {
+            return lastProgressAt.plus(FLUSH_TIMEOUT).isBefore(now);
         }
 
         /** Whether a request takes too long to arrive while no earlier request is open. */
-        private boolean slow(Instant now) {
-            began = client.deaf || !parser.partial() && !client.body ? null : began == null ? now : began;
-            return began != null && began.plus(REQUEST_TIME).isBefore(now) && client.open() == (client.body ? 1 : 0);
+        private boolean isRequestLate(Instant now) {
+            requestBeganAt = client.ignoresRequests || !parser.isPartial() && !client.receivingBody
+                    ? null
+                    : requestBeganAt == null ? now : requestBeganAt;
+            return requestBeganAt != null
+                    && requestBeganAt.plus(REQUEST_READ_TIMEOUT).isBefore(now)
+                    && client.openRequests() == (client.receivingBody ? 1 : 0);
         }
 
         /** Whether the last answer was sent and the client had time to read it, or the client no longer reads it. */
-        private boolean answered(Instant now, boolean flushed) {
-            Instant last = client.closeAt;
-            if (last == null) {
+        private boolean isDoneAnswering(Instant now, boolean flushed) {
+            Instant closeAt = client.closeAt;
+            if (closeAt == null) {
                 return false;
             }
             if (!flushed) {
-                return last.plus(FLUSH_TIME).isBefore(now) && stalled(now);
+                return closeAt.plus(FLUSH_TIMEOUT).isBefore(now) && isWriteStalled(now);
             }
-            boolean longer =
-                    lingering && !draining && !room.crowded(); // else its descriptor is needed, or the process is about to end
-            return last.plus(longer ? LINGER : Duration.ZERO).isBefore(now);
+            boolean lingersOn = lingering
+                    && !draining
+                    && !allClients.isCrowded(); // else its descriptor is needed, or the process is about to end
+            return closeAt.plus(lingersOn ? LINGER_TIMEOUT : Duration.ZERO).isBefore(now);
         }
 
         /**
          * Whether the connection may be closed: its client sent no byte in time, or it is idle and either was asked to close
          * or all idle connections are being closed.
          */
-        private boolean unused(Instant now, boolean flushed) {
-            boolean between = !client.busy() && flushed && !parser.partial();
-            if (!between && flushed) {
-                client.stays();
+        private boolean isUnused(Instant now, boolean flushed) {
+            boolean betweenRequests = !client.isBusy() && flushed && !parser.isPartial();
+            if (!betweenRequests && flushed) {
+                client.keepOpen();
             }
-            boolean silent = !client.heard && client.connected.plus(SILENCE).isBefore(now);
-            return silent || between && (client.going() || leading && client.quiet(now, QUIET));
+            boolean silent = !client.hasReceived
+                    && client.connectedAt.plus(FIRST_BYTE_TIMEOUT).isBefore(now);
+            return silent
+                    || betweenRequests
+                            && (client.isAskedToClose() || closingIdle && client.isQuiet(now, MIN_IDLE_BEFORE_CLOSE));
         }
 
         /**
          * Reads once more, and returns whether the connection is in use after all. Without this, a request that arrived
          * while the reactor handled other connections would be lost in the close.
          */
-        private boolean heardSince() {
-            if (looking) {
+        private boolean hasNewInput() {
+            if (rechecking) {
                 return true; // called from the read below; the outer call decides
             }
-            looking = true;
+            rechecking = true;
             try {
                 inputReady(session, null);
-                return session.isOpen() && !unused(clock.instant(), flushed(clock.instant()));
+                return session.isOpen() && !isUnused(clock.instant(), isFlushed(clock.instant()));
             } catch (IOException e) {
                 return false;
             } finally {
-                looking = false;
+                rechecking = false;
             }
         }
 
         /** Unregisters a closed connection. HttpCore does not report those it closed after a reset or an exception. */
-        private void gone() {
+        private void unregisterIfClosed() {
             if (!session.isOpen()) {
-                room.leave(client);
+                allClients.unregister(client);
             }
         }
     }
@@ -494,13 +517,14 @@
      * Answers a request that exceeds the limits. A request that resumes an earlier one fails (500) instead of being
      * refused (503): after a refusal its client would start again from the beginning.
      */
-    private Runnable refuse(HttpCall call, HttpReply reply) {
-        if (call.asksForHealth()) {
-            return front.accept(call, reply); // needs no server connection, and a refusal would make this process look unhealthy
-        }
-        int status = HttpCall.resumes(call.header("x-retried")) ? 500 : 503;
-        observer.turnedAway(call.header("x-priority-class"), status);
-        reply.whole(
+    private Runnable refuseOverload(HttpCall call, HttpReply reply) {
+        if (call.isHealthCheck()) {
+            return front.accept(
+                    call, reply); // needs no server connection, and a refusal would make this process look unhealthy
+        }
+        int status = HttpCall.isResumption(call.header("x-retried")) ? 500 : 503;
+        observer.requestRejected(call.header("x-priority-class"), status);
+        reply.respond(
                 status,
                 "text/plain",
                 Map.of("Retry-After", "1", "Connection", "close"),
@@ -511,7 +535,7 @@
     /** {@code shared}: another process may listen there too. Returns the bound address, with the port chosen for port 0. */
     public InetSocketAddress listen(InetSocketAddress address, boolean shared) throws IOException {
         try {
-            acceptor = new Acceptor(address, shared, clock, this::takes, this::take);
+            acceptor = new Acceptor(address, shared, clock, this::canAccept, this::handOver);
         } catch (IOException e) {
             throw new IOException("cannot listen on " + address + ": " + e.getMessage(), e);
         }
@@ -519,18 +543,19 @@
     }
 
     /** While set, each answer carries Connection: close. */
-    public void drain(boolean now) {
-        draining = now;
+    public void setDraining(boolean enabled) {
+        draining = enabled;
     }
 
     /**
      * While set, idle connections are closed. The reading thread does so once all available input was read, and spares new
      * connections and those within a request, so that no request is lost unread.
      */
-    public void leadAway(boolean now) {
-        leading = now;
-        if (now) {
-            room.wake(clock.instant(), QUIET); // else the reactor checks them up to 0.4 s later
+    public void setClosingIdle(boolean enabled) {
+        closingIdle = enabled;
+        if (enabled) {
+            allClients.wakeQuiet(
+                    clock.instant(), MIN_IDLE_BEFORE_CLOSE); // else the reactor checks them up to 0.4 s later
         }
     }
 
@@ -553,14 +578,14 @@
 
     /** Listens again at the same address if it has stopped; false if that is not possible now. */
     public boolean listenAgain() {
-        Acceptor old = acceptor;
-        if (old == null || !old.closing()) {
+        Acceptor previous = acceptor;
+        if (previous == null || !previous.isClosing()) {
             return true;
-        } else if (!old.ended()) {
+        } else if (!previous.isClosed()) {
             return false;
         }
         try {
-            listen(old.address(), true);
+            listen(previous.address(), true);
             return true;
         } catch (IOException e) {
             LOG.warning(e.getMessage());
@@ -569,23 +594,23 @@
     }
 
     /** Whether connections may still be accepted, also after {@link #stopListening} while some are in the kernel's queue. */
-    public boolean listening() {
-        return acceptor != null && !acceptor.ended();
+    public boolean isListening() {
+        return acceptor != null && !acceptor.isClosed();
     }
 
     /** Whether any connection is open. Counts those not registered yet first, so that one registered meanwhile isn't missed. */
-    public boolean connected() {
-        return inlet.handedOn().get() > 0 || room.size() > 0;
+    public boolean hasConnections() {
+        return active.pendingConnections().get() > 0 || allClients.size() > 0;
     }
 
-    public boolean busy() {
-        return room.busy();
+    public boolean isBusy() {
+        return allClients.isBusy();
     }
 
     /** To be called each {@link #TICK}: checks all timeouts while HttpCore's timers stand still (see {@code ReactorTimers}). */
-    public void tick() {
-        if (timers.stalled()) {
-            room.lookAtAll();
+    public void checkTimers() {
+        if (timers.isStalled()) {
+            allClients.wakeAll();
         }
     }
 
@@ -595,13 +620,13 @@
      * The reading thread first counts itself in {@code activeReads} and then checks {@code readingPaused}, so that one of
      * the two threads always sees the other.
      */
-    public boolean seal() {
-        sealed = true;
-        return reading.get() == 0 && !busy();
+    public boolean pauseReading() {
+        readingPaused = true;
+        return activeReads.get() == 0 && !isBusy();
     }
 
-    public void unseal() {
-        sealed = false;
+    public void resumeReading() {
+        readingPaused = false;
     }
 
     /**
@@ -611,13 +636,13 @@
     public void quiesce() {
         closing.set(true);
         abandonAddress();
-        inlet.reactor().initiateShutdown();
+        active.reactor().initiateShutdown();
     }
 
     @Override
     public void close() {
         closing.set(true);
         abandonAddress(); // else the acceptor's thread would wait for the reactor for good
-        inlet.reactor().close(CloseMode.GRACEFUL);
+        active.reactor().close(CloseMode.GRACEFUL);
     }
 }
--- a/src/main/java/copperbeam/transport/ListenQueueAge.java
+++ b/src/main/java/copperbeam/transport/ListenQueueAge.java
@@ -18,16 +18,16 @@
  */
 final class ListenQueueAge implements AutoCloseable {
     private static final Logger LOG = Logger.getLogger(ListenQueueAge.class.getName());
-    private static final Duration INTERVAL = Duration.ofMillis(50); // between markers
-    private static final int MOST_MARKERS = 8; // each uses a descriptor
+    private static final Duration MARKER_INTERVAL = Duration.ofMillis(50); // between markers
+    private static final int MAX_MARKERS = 8; // each uses a descriptor
 
-    private record Marker(SocketChannel channel, Instant begun) {}
+    private record Marker(SocketChannel channel, Instant begunAt) {}
 
     private final InetSocketAddress listener;
     private final Clock clock;
     private final Deque<Marker> markers = new ArrayDeque<>(); // oldest first
     private Instant waitingSince;
-    private Instant lastBegun; // when the last marker was begun, or else waitingSince
+    private Instant lastMarkerAt; // when the last marker was begun, or else waitingSince
 
     ListenQueueAge(InetSocketAddress listener, Clock clock) {
         this.listener = listener;
@@ -40,34 +40,35 @@
     }
 
     /** To be called when the queue has a connection. */
-    void filled() {
+    void queueFilled() {
         if (waitingSince == null) {
             waitingSince = clock.instant();
-            lastBegun = waitingSince;
+            lastMarkerAt = waitingSince;
         }
     }
 
     /** To be called when the queue is empty. */
-    void emptied() {
+    void queueEmptied() {
         waitingSince = null;
         close();
     }
 
     /** Sends a marker into the queue if one is due. */
-    void mark() {
+    void sendMarkerIfDue() {
         Instant now = clock.instant();
-        if (waitingSince == null || Duration.between(lastBegun, now).compareTo(INTERVAL) < 0) {
+        if (waitingSince == null || Duration.between(lastMarkerAt, now).compareTo(MARKER_INTERVAL) < 0) {
             return;
         }
-        lastBegun = now;
-        // unconnected markers met a full queue; the system would retry for seconds, and a late marker gives a poor bound
-        markers.removeIf(marker -> !connected(marker) && close(marker));
-        if (markers.size() < MOST_MARKERS) {
-            begin(now);
+        lastMarkerAt = now;
+        // unconnected markers met a full queue; the system would retry for seconds, and a late marker gives a poor
+        // bound
+        markers.removeIf(marker -> !isConnected(marker) && close(marker));
+        if (markers.size() < MAX_MARKERS) {
+            sendMarker(now);
         }
     }
 
-    private void begin(Instant now) {
+    private void sendMarker(Instant now) {
         try {
             SocketChannel channel = SocketChannel.open();
             markers.add(new Marker(channel, now));
@@ -78,7 +79,7 @@
         }
     }
 
-    private static boolean connected(Marker marker) {
+    private static boolean isConnected(Marker marker) {
         try {
             return marker.channel.finishConnect();
         } catch (IOException | RuntimeException e) {
@@ -91,10 +92,10 @@
         if (markers.isEmpty()) {
             return false;
         }
-        SocketAddress from = accepted.getRemoteAddress();
+        SocketAddress remoteAddress = accepted.getRemoteAddress();
         Marker found = null;
         for (Marker marker : markers) {
-            if (connected(marker) && from.equals(marker.channel.getLocalAddress())) {
+            if (isConnected(marker) && remoteAddress.equals(marker.channel.getLocalAddress())) {
                 found = marker;
             }
         }
@@ -102,7 +103,7 @@
             return false;
         }
         accepted.close();
-        waitingSince = found.begun;
+        waitingSince = found.begunAt;
         while (markers.peek() != found) {
             close(markers.poll()); // lost, or accepted by another process at this address
         }
--- a/src/main/java/copperbeam/transport/PlainHttpClient.java
+++ b/src/main/java/copperbeam/transport/PlainHttpClient.java
@@ -17,34 +17,34 @@
 /** Makes HTTP calls to services other than the servers; keeps one idle connection per address. */
 public final class PlainHttpClient implements HttpClient {
     private final ClientReactor reactor;
-    private final ConcurrentHashMap<InetSocketAddress, IOSession> kept = new ConcurrentHashMap<>();
+    private final ConcurrentHashMap<InetSocketAddress, IOSession> idleConnections = new ConcurrentHashMap<>();
 
     public PlainHttpClient(ClientReactor reactor) {
         this.reactor = reactor;
     }
 
     private final class Call {
-        final InetSocketAddress to;
-        final Patience patience;
+        final InetSocketAddress address;
+        final Timeouts timeouts;
         final Response response;
-        final AtomicBoolean over = new AtomicBoolean();
+        final AtomicBoolean ended = new AtomicBoolean();
         final AtomicReference<IOSession> session = new AtomicReference<>();
 
-        Call(InetSocketAddress to, Patience patience, Response response) {
-            this.to = to;
-            this.patience = patience;
+        Call(InetSocketAddress address, Timeouts timeouts, Response response) {
+            this.address = address;
+            this.timeouts = timeouts;
             this.response = response;
         }
 
-        void fail(String why) {
-            if (over.compareAndSet(false, true)) {
-                response.failed(why);
+        void fail(String reason) {
+            if (ended.compareAndSet(false, true)) {
+                response.failed(reason);
             }
         }
 
         /** Cancels the call. Does nothing if it has ended, as its connection may already carry the next call. */
-        void stop() {
-            IOSession current = over.getAndSet(true) ? null : session.get();
+        void cancel() {
+            IOSession current = ended.getAndSet(true) ? null : session.get();
             if (current != null) {
                 current.close(CloseMode.IMMEDIATE);
             }
@@ -53,51 +53,56 @@
 
     @Override
     public Runnable send(
-            InetSocketAddress to, String method, String target, byte[] body, Patience patience, Response response) {
-        Call call = new Call(to, patience, response);
-        IOSession idle = kept.remove(to);
+            InetSocketAddress address,
+            String method,
+            String target,
+            byte[] body,
+            Timeouts timeouts,
+            Response response) {
+        Call call = new Call(address, timeouts, response);
+        IOSession idle = idleConnections.remove(address);
         if (idle != null && idle.isOpen()) {
-            run(call, idle, method, target, body, true);
+            execute(call, idle, method, target, body, true);
         } else {
             connect(call, method, target, body);
         }
-        return call::stop;
+        return call::cancel;
     }
 
     private void connect(Call call, String method, String target, byte[] body) {
-        reactor.connect(call.to, call.patience.connect(), new ClientReactor.Life() {
-            private final AtomicBoolean was = new AtomicBoolean();
+        reactor.connect(call.address, call.timeouts.connectTimeout(), new ClientReactor.SessionListener() {
+            private final AtomicBoolean wasOpened = new AtomicBoolean();
 
             @Override
-            public void up(IOSession session) {
-                was.set(true);
-                run(call, session, method, target, body, false);
+            public void opened(IOSession session) {
+                wasOpened.set(true);
+                execute(call, session, method, target, body, false);
             }
 
             @Override
-            public void down() {
-                if (!was.get()) {
+            public void closed() {
+                if (!wasOpened.get()) {
                     call.fail("no connection");
                 }
             }
         });
     }
 
-    private void run(Call call, IOSession session, String method, String target, byte[] body, boolean reused) {
+    private void execute(Call call, IOSession session, String method, String target, byte[] body, boolean reused) {
         call.session.set(session);
-        if (call.over.get()) {
+        if (call.ended.get()) {
             session.close(CloseMode.IMMEDIATE);
             return;
         }
-        session.setSocketTimeout(Timeout.of(call.patience.silence()));
-        BasicHttpRequest request = new BasicHttpRequest(method, ClientReactor.host(call.to), target);
+        session.setSocketTimeout(Timeout.of(call.timeouts.silenceTimeout()));
+        BasicHttpRequest request = new BasicHttpRequest(method, ClientReactor.httpHost(call.address), target);
         if (body != null) {
             request.setHeader("Content-Type", ContentType.APPLICATION_JSON.getMimeType());
         }
         ClientReactor.execute(session, new ClientExchange(request, body) {
             @Override
-            void head(HttpResponse answer) {
-                call.response.head(answer.getCode());
+            void head(HttpResponse responseHead) {
+                call.response.head(responseHead.getCode());
             }
 
             @Override
@@ -109,24 +114,28 @@
             }
 
             @Override
-            void whole(boolean reusable) {
-                boolean ends = call.over.compareAndSet(false, true); // false: cancelled, which closed the connection
-                kept.values().removeIf(s -> !s.isOpen());
-                IOSession other = reusable && ends ? kept.put(call.to, session) : session;
-                if (other != null && (other != session || !reusable || !ends)) {
-                    other.close(CloseMode.GRACEFUL);
+            void completed(boolean reusable) {
+                boolean endedHere =
+                        call.ended.compareAndSet(false, true); // false: cancelled, which closed the connection
+                idleConnections.values().removeIf(s -> !s.isOpen());
+                IOSession toClose = reusable && endedHere ? idleConnections.put(call.address, session) : session;
+                if (toClose != null && (toClose != session || !reusable || !endedHere)) {
+                    toClose.close(CloseMode.GRACEFUL);
                 }
-                if (ends) {
+                if (endedHere) {
                     call.response.end();
                 }
             }
 
             @Override
             void broken(boolean mayHaveRun) {
-                if (reused && !mayHaveRun && !call.over.get()) {
+                if (reused && !mayHaveRun && !call.ended.get()) {
                     connect(call, method, target, body);
                 } else {
-                    call.fail(cause() == null ? "the connection closed before the response was complete" : cause().toString());
+                    call.fail(
+                            cause() == null
+                                    ? "the connection closed before the response was complete"
+                                    : cause().toString());
                 }
             }
         });
--- a/src/main/java/copperbeam/transport/Problems.java
+++ b/src/main/java/copperbeam/transport/ReactorErrors.java
@@ -5,10 +5,10 @@
 import java.util.logging.Logger;
 
 /** Logs exceptions and errors inside a reactor. */
-final class Problems {
+final class ReactorErrors {
     private static final Logger LOG = Logger.getLogger("copperbeam.transport");
 
-    private Problems() {}
+    private ReactorErrors() {}
 
     /** Logs an exception unless it is due to a broken connection or a malformed message. */
     static void report(Exception e) {
@@ -21,7 +21,7 @@
      * Logs an Error in one connection's handler, such as a stack overflow, and returns an exception that closes only that
      * connection; the Error itself would end the reactor and all its connections.
      */
-    static IOException broken(Error e) {
+    static IOException logAndWrap(Error e) {
         LOG.log(Level.SEVERE, "a connection's event handler failed", e);
         return new IOException("the event handler failed", e);
     }
--- a/src/main/java/copperbeam/transport/ReactorTimers.java
+++ b/src/main/java/copperbeam/transport/ReactorTimers.java
@@ -5,12 +5,12 @@
  * caught up, perhaps an hour later.
  */
 final class ReactorTimers {
-    private long latest = System.currentTimeMillis(); // latest wall-clock time seen, in ms
+    private long latestMs = System.currentTimeMillis(); // latest wall-clock time seen, in ms
 
     /** Whether the wall clock is behind an earlier time. To be called regularly, as it compares with earlier calls only. */
-    boolean stalled() {
-        long now = System.currentTimeMillis();
-        latest = Math.max(latest, now);
-        return now < latest;
+    boolean isStalled() {
+        long nowMs = System.currentTimeMillis();
+        latestMs = Math.max(latestMs, nowMs);
+        return nowMs < latestMs;
     }
 }
--- a/src/main/java/copperbeam/transport/RequestDuplexer.java
+++ b/src/main/java/copperbeam/transport/RequestDuplexer.java
@@ -26,22 +26,22 @@
 final class RequestDuplexer extends ServerHttp1StreamDuplexer {
     private static final HttpProcessor PROCESSOR = HttpProcessors.server();
 
-    final Chunks.Turn turn = new Chunks.Turn(ServerExchange.MOST_BODY);
+    final Chunks.ReadBudget readBudget = new Chunks.ReadBudget(ServerExchange.MAX_BODY_BYTES);
     private final RequestParser parser;
-    private final ClientRoom.Client client;
+    private final ClientConnections.Client client;
 
     RequestDuplexer(
             ProtocolIOSession session,
             RequestParser parser,
-            ClientRoom.Client client,
+            ClientConnections.Client client,
             HandlerFactory<AsyncServerExchangeHandler> exchanges) {
         super(
                 session,
                 PROCESSOR,
                 exchanges,
                 "http",
-                HttpFrontServer.CONFIG,
-                BoundedParser.CODING,
+                HttpFrontServer.HTTP1_CONFIG,
+                BoundedParser.HEAD_CODING,
                 null,
                 parser,
                 DefaultHttpResponseWriterFactory.INSTANCE.create(),
@@ -57,16 +57,22 @@
     protected ContentDecoder createContentDecoder(
             long length, ReadableByteChannel channel, SessionInputBuffer buffer, BasicHttpTransportMetrics metrics)
             throws HttpException {
-        client.unreadable = parser.unreadable();
-        client.deaf |= client.unreadable != null || client.open() >= ServerExchange.MOST_PIPELINED;
-        if (client.deaf) {
+        client.parseError = parser.parseError();
+        client.ignoresRequests |=
+                client.parseError != null || client.openRequests() >= ServerExchange.MAX_PIPELINED_REQUESTS;
+        if (client.ignoresRequests) {
             // a body without end, since HttpCore would close by itself after the answer to a complete request
             return super.createContentDecoder(Long.MAX_VALUE, channel, buffer, metrics);
         }
         return length == ContentLengthStrategy.CHUNKED
                 ? new ChunkedBody(
                         Chunks.decoder(
-                                channel, buffer, HttpFrontServer.CONFIG, metrics, ServerExchange.MOST_BODY, turn),
+                                channel,
+                                buffer,
+                                HttpFrontServer.HTTP1_CONFIG,
+                                metrics,
+                                ServerExchange.MAX_BODY_BYTES,
+                                readBudget),
                         super.createContentDecoder(Long.MAX_VALUE, channel, buffer, metrics))
                 : super.createContentDecoder(length, channel, buffer, metrics);
     }
@@ -76,36 +82,36 @@
      * earlier requests still wait for their answers.
      */
     private final class ChunkedBody implements ContentDecoder {
-        private final Chunks.Decoder chunks;
-        private final ContentDecoder rest;
-        private boolean unreadable;
+        private final Chunks.Decoder chunkDecoder;
+        private final ContentDecoder remainder;
+        private boolean discarding;
 
-        ChunkedBody(Chunks.Decoder chunks, ContentDecoder rest) {
-            this.chunks = chunks;
-            this.rest = rest;
+        ChunkedBody(Chunks.Decoder chunkDecoder, ContentDecoder remainder) {
+            this.chunkDecoder = chunkDecoder;
+            this.remainder = remainder;
         }
 
         @Override
         public int read(ByteBuffer to) throws IOException {
-            if (unreadable) {
-                return rest.read(to);
+            if (discarding) {
+                return remainder.read(to);
             }
             int count = 0;
             try {
-                count = chunks.read(to);
+                count = chunkDecoder.read(to);
             } catch (IOException e) {
-                if (!malformed(e)) {
+                if (!isMalformed(e)) {
                     throw e;
                 }
             }
-            if (malformed(chunks.late())) {
-                unreadable = true;
-                client.reading.unreadable("the chunks of the body can not be read");
+            if (isMalformed(chunkDecoder.deferredError())) {
+                discarding = true;
+                client.currentExchange.rejectMalformedBody("the chunks of the body can not be read");
             }
             return count;
         }
 
-        private static boolean malformed(IOException e) {
+        private static boolean isMalformed(IOException e) {
             return e instanceof MessageConstraintException
                     || e != null && e.getCause() instanceof ParseException // a malformed trailer
                     || e instanceof MalformedChunkCodingException && !(e instanceof TruncatedChunkException);
@@ -113,12 +119,12 @@
 
         @Override
         public boolean isCompleted() {
-            return !unreadable && chunks.isCompleted();
+            return !discarding && chunkDecoder.isCompleted();
         }
 
         @Override
         public List<? extends Header> getTrailers() {
-            return chunks.getTrailers();
+            return chunkDecoder.getTrailers();
         }
     }
 }
--- a/src/main/java/copperbeam/transport/RequestParser.java
+++ b/src/main/java/copperbeam/transport/RequestParser.java
@@ -22,25 +22,25 @@
  */
 final class RequestParser implements NHttpMessageParser<HttpRequest> {
     private final BoundedParser<HttpRequest> parser;
-    private HttpException unreadable;
-    private boolean ended;
+    private HttpException parseError;
+    private boolean inputEnded;
 
     RequestParser(Http1Config config) {
         parser = new BoundedParser<>(new DefaultHttpRequestParserFactory(config).create(), true);
     }
 
     /** Why a head was replaced by a substitute; null if none was. */
-    HttpException unreadable() {
-        return unreadable;
+    HttpException parseError() {
+        return parseError;
     }
 
-    boolean partial() {
-        return unreadable == null && parser.partial();
+    boolean isPartial() {
+        return parseError == null && parser.isPartial();
     }
 
     /** Whether the client has closed its sending side. */
-    boolean ended() {
-        return ended;
+    boolean isInputEnded() {
+        return inputEnded;
     }
 
     @Override
@@ -50,23 +50,23 @@
 
     @Override
     public HttpRequest parse(SessionInputBuffer buffer, boolean endOfStream) throws IOException, HttpException {
-        ended |= endOfStream;
+        inputEnded |= endOfStream;
         try {
             HttpRequest head = parser.parse(buffer, endOfStream);
             if (head != null) {
-                conform(head);
+                checkConformance(head);
             }
             return head;
         } catch (HttpException e) {
-            unreadable = e;
-            HttpRequest standsIn = new BasicHttpRequest("GET", "/");
-            standsIn.setHeader("Host", "unreadable"); // required by HttpCore
-            return standsIn;
+            parseError = e;
+            HttpRequest substitute = new BasicHttpRequest("GET", "/");
+            substitute.setHeader("Host", "unreadable"); // required by HttpCore
+            return substitute;
         }
     }
 
     /** Checks that HttpCore makes only after parsing, where it would answer and close by itself. */
-    private static void conform(HttpRequest head) throws IOException, HttpException {
+    private static void checkConformance(HttpRequest head) throws IOException, HttpException {
         ProtocolVersion version = head.getVersion();
         if (version != null && version.greaterEquals(HttpVersion.HTTP_2)) {
             throw new UnsupportedHttpVersionException(version);
--- a/src/main/java/copperbeam/transport/ServerConnector.java
+++ b/src/main/java/copperbeam/transport/ServerConnector.java
@@ -25,7 +25,7 @@
 
 /** Connects to servers and speaks the platform's protocol with them: attempts, probes and releases of read states. */
 public final class ServerConnector implements Connector {
-    private static final String[] PASSED = {
+    private static final String[] FORWARDED_HEADERS = {
         "X-Tenant-Id", "X-Route-Key", "X-Attrs", "X-Retried", "Idempotency-Key", "Content-Type", "Accept"
     };
 
@@ -33,45 +33,45 @@
      * By how much the X-Timeout in a request's head may exceed the time left when its last byte is due to be sent. Beyond
      * this, the last byte is not sent, and the server doesn't run the request.
      */
-    private static final Duration MOST_TOLD_TOO_MUCH = Duration.ofMillis(100);
+    private static final Duration MAX_TIMEOUT_EXCESS = Duration.ofMillis(100);
 
     private final ClientReactor reactor;
-    private final DescriptorBudget descriptors;
+    private final DescriptorBudget descriptorBudget;
 
     public ServerConnector(ClientReactor reactor) {
         this(reactor, DescriptorBudget.unlimited());
     }
 
     /** If the budget of file descriptors is used up, connects fail at once, as they would without any descriptor left. */
-    public ServerConnector(ClientReactor reactor, DescriptorBudget descriptors) {
+    public ServerConnector(ClientReactor reactor, DescriptorBudget descriptorBudget) {
         this.reactor = reactor;
-        this.descriptors = descriptors;
+        this.descriptorBudget = descriptorBudget;
     }
 
     @Override
-    public void connect(InetSocketAddress to, Duration timeout, Watcher watcher) {
-        if (!descriptors.connects()) {
-            watcher.failed();
+    public void connect(InetSocketAddress address, Duration timeout, ConnectionListener listener) {
+        if (!descriptorBudget.mayConnectToServer()) {
+            listener.connectFailed();
             return;
         }
-        reactor.connect(to, timeout, new ClientReactor.Life() {
-            private final AtomicBoolean told = new AtomicBoolean();
+        reactor.connect(address, timeout, new ClientReactor.SessionListener() {
+            private final AtomicBoolean outcomeReported = new AtomicBoolean();
             private volatile ServerConnection connection;
 
             @Override
-            public void up(IOSession session) {
-                if (told.compareAndSet(false, true)) {
-                    connection = new ServerConnection(session, to);
-                    watcher.up(connection);
+            public void opened(IOSession session) {
+                if (outcomeReported.compareAndSet(false, true)) {
+                    connection = new ServerConnection(session, address);
+                    listener.connected(connection);
                 }
             }
 
             @Override
-            public void down() {
-                if (told.compareAndSet(false, true)) {
-                    watcher.failed();
+            public void closed() {
+                if (outcomeReported.compareAndSet(false, true)) {
+                    listener.connectFailed();
                 } else if (connection != null) {
-                    watcher.closed(connection);
+                    listener.closed(connection);
                 }
             }
         });
@@ -82,9 +82,9 @@
         private final HttpHost host;
         private volatile ClientExchange exchange;
 
-        ServerConnection(IOSession session, InetSocketAddress to) {
+        ServerConnection(IOSession session, InetSocketAddress address) {
             this.session = session;
-            host = ClientReactor.host(to);
+            host = ClientReactor.httpHost(address);
         }
 
         @Override
@@ -93,17 +93,17 @@
         }
 
         @Override
-        public void call(Call call, Listener listener) {
-            ClientExchange next = exchange(call, listener);
+        public void call(Call call, CallListener listener) {
+            ClientExchange next = newExchange(call, listener);
             exchange = next;
             ClientReactor.execute(session, next);
         }
 
         @Override
-        public void let() {
+        public void sendLastByte() {
             ClientExchange current = exchange;
             if (current != null) {
-                current.let();
+                current.sendLastByte();
             }
         }
 
@@ -116,14 +116,14 @@
         }
 
         @Override
-        public boolean heldBack() {
+        public boolean isReceiveWindowFull() {
             ClientExchange current = exchange;
-            return current != null && current.windowUsed();
+            return current != null && current.isWindowUsed();
         }
 
         @Override
-        public void readOut(Runnable read) {
-            ClientReactor.readOut(session, read);
+        public void readOut(Runnable then) {
+            ClientReactor.runAfterReading(session, then);
         }
 
         @Override
@@ -145,99 +145,102 @@
             return !((SelectableChannel) ((ProtocolIOSession) session).channel()).isRegistered();
         }
 
-        private ClientExchange exchange(Call call, Listener listener) {
-            if (call instanceof AttemptCall a) {
-                return attempt(a, listener);
+        private ClientExchange newExchange(Call call, CallListener listener) {
+            if (call instanceof AttemptCall attemptCall) {
+                return newAttempt(attemptCall, listener);
             }
-            return call instanceof ReleaseCall r
-                    ? new ShortExchange(request("DELETE", "/state/" + r.id()), listener, false)
-                    : new ShortExchange(request("GET", "/load"), listener, true);
+            return call instanceof ReleaseCall releaseCall
+                    ? new ShortExchange(newRequest("DELETE", "/state/" + releaseCall.requestId()), listener, false)
+                    : new ShortExchange(newRequest("GET", "/load"), listener, true);
         }
 
-        private HttpRequest request(String method, String target) {
+        private HttpRequest newRequest(String method, String target) {
             BasicHttpRequest request = new BasicHttpRequest(method, host, target);
             return request;
         }
 
-        private ClientExchange attempt(AttemptCall a, Listener listener) {
-            HttpCall call = (HttpCall) a.ask().payload();
-            HttpRequest request = request(call.method(), call.target());
-            for (String name : PASSED) {
+        private ClientExchange newAttempt(AttemptCall attemptCall, CallListener listener) {
+            HttpCall call = (HttpCall) attemptCall.spec().payload();
+            HttpRequest request = newRequest(call.method(), call.target());
+            for (String name : FORWARDED_HEADERS) {
                 String value = call.header(name.toLowerCase(java.util.Locale.ROOT));
                 if (value != null) {
                     request.setHeader(name, value);
                 }
             }
-            request.setHeader("X-Request-ID", a.ask().id());
-            request.setHeader("X-Priority-Class", a.ask().requestClass());
-            return new AttemptExchange(request, call.body(), a, listener);
+            request.setHeader("X-Request-ID", attemptCall.spec().id());
+            request.setHeader("X-Priority-Class", attemptCall.spec().requestClass());
+            return new AttemptExchange(request, call.body(), attemptCall, listener);
         }
     }
 
-    private static String value(HttpResponse response, String name) {
+    private static String headerValue(HttpResponse response, String name) {
         Header header = response.getFirstHeader(name);
         return header == null ? null : header.getValue();
     }
 
     private static final class AttemptExchange extends ClientExchange {
-        private final Listener listener;
+        private final CallListener listener;
         private final AttemptCall call;
         private final EventSplitter events = new EventSplitter();
-        private Duration patienceTold = Duration.ZERO;
-        private boolean stream;
-        private Word word;
+        private Duration timeoutSent = Duration.ZERO;
+        private boolean isStream;
+        private AnswerKind answerKind;
 
-        AttemptExchange(HttpRequest request, byte[] body, AttemptCall call, Listener listener) {
-            super(request, body, call.hold());
+        AttemptExchange(HttpRequest request, byte[] body, AttemptCall call, CallListener listener) {
+            super(request, body, call.holdLastByte());
             this.call = call;
             this.listener = listener;
         }
 
         @Override
-        boolean mayBegin() {
-            return call.mayBegin().getAsBoolean();
+        boolean maySendHead() {
+            return call.maySendHead().getAsBoolean();
         }
 
         /** Sets X-Timeout as late as possible, since the call may have waited for the reactor's thread. */
         @Override
-        void leaves(HttpRequest head) {
-            patienceTold = call.patience().get();
-            head.setHeader("X-Timeout", PlatformHeaders.timeout(patienceTold));
+        void prepareHead(HttpRequest head) {
+            timeoutSent = call.timeLeft().get();
+            head.setHeader("X-Timeout", PlatformHeaders.timeout(timeoutSent));
         }
 
         /** False also if the body is sent so late that the X-Timeout in the head overstates the time left. */
         @Override
-        boolean wanted() {
-            Duration passed = patienceTold.minus(call.patience().get());
-            return call.wanted().getAsBoolean() && passed.compareTo(MOST_TOLD_TOO_MUCH) <= 0;
+        boolean maySendLastByte() {
+            Duration elapsed = timeoutSent.minus(call.timeLeft().get());
+            return call.maySendLastByte().getAsBoolean() && elapsed.compareTo(MAX_TIMEOUT_EXCESS) <= 0;
         }
 
         @Override
         void head(HttpResponse response) throws HttpException {
-            word = PlatformStatus.attempt(
-                    call.reads(), response.getCode(), "1".equals(value(response, "X-Not-Processed")));
-            stream = word == Word.STREAM;
-            if (stream && !response.containsHeader("Transfer-Encoding") && !response.containsHeader("Content-Length")) {
+            answerKind = PlatformStatus.classifyAttempt(
+                    call.reads(), response.getCode(), "1".equals(headerValue(response, "X-Not-Processed")));
+            isStream = answerKind == AnswerKind.STREAM;
+            if (isStream
+                    && !response.containsHeader("Transfer-Encoding")
+                    && !response.containsHeader("Content-Length")) {
                 throw new ProtocolException("stream with neither Transfer-Encoding nor Content-Length");
             }
-            listener.word(word, PlatformHeaders.report(value(response, "X-Server-Load")));
+            listener.answerClassified(answerKind, PlatformHeaders.parseReport(headerValue(response, "X-Server-Load")));
         }
 
         @Override
         void data(ByteBuffer bytes) throws IOException {
-            if (!stream) {
+            if (!isStream) {
                 gather(bytes);
-            } else if (!events.take(bytes, listener::event)) {
+            } else if (!events.accept(bytes, listener::event)) {
                 throw new IOException("not a stream of server-sent events");
             }
         }
 
         @Override
-        void whole(boolean reusable) {
-            if (stream && !events.end(listener::event)) {
+        void completed(boolean reusable) {
+            if (isStream && !events.finish(listener::event)) {
                 listener.broken(true);
             } else {
-                listener.end(reusable, word == Word.READ ? PlatformStatus.keptTokens(gathered()) : Double.NaN);
+                listener.end(
+                        reusable, answerKind == AnswerKind.READ ? PlatformStatus.cachedTokens(gathered()) : Double.NaN);
             }
         }
 
@@ -247,8 +250,8 @@
         }
 
         @Override
-        void held() {
-            listener.held();
+        void lastByteHeld() {
+            listener.lastByteHeld();
         }
 
         @Override
@@ -259,22 +262,22 @@
 
     /** A probe or a release. */
     private static final class ShortExchange extends ClientExchange {
-        private final Listener listener;
-        private final boolean probe;
-        private Word word;
+        private final CallListener listener;
+        private final boolean isProbe;
+        private AnswerKind answerKind;
         private Report report;
 
-        ShortExchange(HttpRequest request, Listener listener, boolean probe) {
+        ShortExchange(HttpRequest request, CallListener listener, boolean isProbe) {
             super(request, null);
             this.listener = listener;
-            this.probe = probe;
+            this.isProbe = isProbe;
         }
 
         @Override
         void head(HttpResponse response) {
             int status = response.getCode();
-            word = probe ? PlatformStatus.probe(status) : PlatformStatus.release(status);
-            report = PlatformHeaders.report(value(response, "X-Server-Load"));
+            answerKind = isProbe ? PlatformStatus.classifyProbe(status) : PlatformStatus.classifyRelease(status);
+            report = PlatformHeaders.parseReport(headerValue(response, "X-Server-Load"));
         }
 
         @Override
@@ -283,13 +286,13 @@
         }
 
         @Override
-        void whole(boolean reusable) {
-            if (probe && word == Word.HEARD) {
-                Report told = PlatformHeaders.report(
+        void completed(boolean reusable) {
+            if (isProbe && answerKind == AnswerKind.HEARD) {
+                Report bodyReport = PlatformHeaders.parseReport(
                         gathered().replaceFirst("(?i)^\\s*X-Server-Load:", "").strip());
-                report = told == null ? report : told;
+                report = bodyReport == null ? report : bodyReport;
             }
-            listener.word(word, report);
+            listener.answerClassified(answerKind, report);
             listener.end(reusable, Double.NaN);
         }
 
--- a/src/main/java/copperbeam/transport/ServerExchange.java
+++ b/src/main/java/copperbeam/transport/ServerExchange.java
@@ -39,70 +39,73 @@
 /** One client's request and the answer to it. */
 final class ServerExchange implements AsyncServerExchangeHandler, HttpReply {
     private static final Logger LOG = Logger.getLogger(ServerExchange.class.getName());
-    static final int MOST_BODY = 256 * 1024;
-    static final int MOST_PIPELINED = 8; // requests open on one connection
+    static final int MAX_BODY_BYTES = 256 * 1024;
+    static final int MAX_PIPELINED_REQUESTS = 8; // requests open on one connection
 
-    private static final Duration LINGER = Duration.ofMillis(100); // for the client to read the answer before the close
-    private static final Duration CUT_TIME = Duration.ofSeconds(1); // for sending what was written before an abort
+    private static final Duration LINGER_TIME =
+            Duration.ofMillis(100); // for the client to read the answer before the close
+    private static final Duration ABORT_FLUSH_TIME =
+            Duration.ofSeconds(1); // for sending what was written before an abort
 
     // bytes of an answer that may wait for a slow client; one chunk from a server may be this long
-    private static final int MOST_WAITING = 1 << 20;
+    private static final int MAX_BUFFERED_BYTES = 1 << 20;
 
-    private static final int MOST_A_TURN = 64 * 1024; // bytes written at once, as other connections wait for the reactor
+    private static final int MAX_WRITE_BYTES_PER_TURN =
+            64 * 1024; // bytes written at once, as other connections wait for the reactor
 
     /** Notified of a request that is rejected here, before a front sees it. */
-    interface TurnedAway {
-        void told(String requestClass, int status);
+    interface RejectionListener {
+        void rejected(String requestClass, int status);
     }
 
-    private record Piece(ByteBuffer bytes, Runnable drained) {}
+    private record PendingWrite(ByteBuffer bytes, Runnable onDrained) {}
 
-    private enum Last {
+    private enum EndState {
         NONE,
-        WHOLE,
-        CUT
+        COMPLETE,
+        ABORTED
     }
 
-    private final ClientRoom.Client client;
-    private final ClientRoom room;
+    private final ClientConnections.Client client;
+    private final ClientConnections allClients;
     private final Front front;
     private final Clock clock;
     private final BooleanSupplier draining;
-    private final TurnedAway turnedAway;
+    private final RejectionListener rejectionListener;
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
-    private final ConcurrentLinkedQueue<Piece> pieces = new ConcurrentLinkedQueue<>();
-    private final AtomicInteger waiting = new AtomicInteger(); // bytes in pendingWrites
-    private final AtomicInteger producing = new AtomicInteger();
-    private final AtomicBoolean over = new AtomicBoolean();
-    private volatile Last last = Last.NONE;
-    private volatile boolean closing; // the connection closes after this answer
-    private volatile ResponseChannel responses;
-    private volatile DataStreamChannel output;
-    private volatile Runnable toldGone = () -> {};
-    private volatile boolean gone;
+    private final ConcurrentLinkedQueue<PendingWrite> pendingWrites = new ConcurrentLinkedQueue<>();
+    private final AtomicInteger bufferedBytes = new AtomicInteger(); // bytes in pendingWrites
+    private final AtomicInteger pendingProduceCalls = new AtomicInteger();
+    private final AtomicBoolean finished = new AtomicBoolean();
+    private volatile EndState endState = EndState.NONE;
+    private volatile boolean closesAfterAnswer; // the connection closes after this answer
+    private volatile ResponseChannel responseChannel;
+    private volatile DataStreamChannel outputChannel;
+    private volatile Runnable onClientGone = () -> {};
+    private volatile boolean clientGone;
     private HttpRequest request;
     private HttpContext context;
-    private Instant arrived;
-    private Duration queued; // upper bound of its wait before arrivedAt
-    private boolean answered;
-    private boolean unread; // the rest of the request was not read
-    private int held; // bytes of the body, reserved in the limit of all clients until the exchange ends
-    private boolean cutSeen;
+    private Instant arrivedAt;
+    private Duration maxQueueTime; // upper bound of its wait before arrivedAt
+    private boolean rejectedOrDispatched;
+    private boolean requestUnread; // the rest of the request was not read
+    private int reservedBodyBytes; // bytes of the body, reserved in the limit of all clients until the exchange ends
+    private boolean abortSeen;
 
     ServerExchange(
-            ClientRoom.Client client,
-            ClientRoom room,
+            ClientConnections.Client client,
+            ClientConnections allClients,
             Front front,
             Clock clock,
             BooleanSupplier draining,
-            TurnedAway turnedAway) {
-        this.turnedAway = turnedAway;
+            RejectionListener rejectionListener) {
+        this.rejectionListener = rejectionListener;
         this.client = client;
-        this.room = room;
+        this.allClients = allClients;
         this.front = front;
         this.clock = clock;
         this.draining = draining;
-        client.begin();
+        client.requestBegan();
     }
 
     // ---- the request ---------------------------------------------------------------------------
@@ -111,22 +114,22 @@
     public void handleRequest(HttpRequest head, EntityDetails entity, ResponseChannel channel, HttpContext ctx)
             throws HttpException, IOException {
         request = head;
-        responses = channel;
+        responseChannel = channel;
         context = ctx;
-        arrived = clock.instant();
-        queued = client.queued(arrived);
-        client.reading = this;
-        client.body = entity != null;
-        if (client.unreadable != null) {
-            turnAway(ServerSupport.toStatusCode(client.unreadable), ServerSupport.toErrorMessage(client.unreadable));
-        } else if (client.deaf) {
+        arrivedAt = clock.instant();
+        maxQueueTime = client.takeMaxQueueTime(arrivedAt);
+        client.currentExchange = this;
+        client.receivingBody = entity != null;
+        if (client.parseError != null) {
+            reject(ServerSupport.toStatusCode(client.parseError), ServerSupport.toErrorMessage(client.parseError));
+        } else if (client.ignoresRequests) {
             // nothing after it is parsed as a request: hundreds of pipelined requests would use memory and delay the
             // detection of the client's close
-            turnAway(busyStatus(), "too many requests on one connection");
+            reject(overloadStatus(), "too many requests on one connection");
         } else if (entity == null) {
-            client.whole.add(this);
-        } else if (entity.getContentLength() > MOST_BODY) {
-            turnAway(413, "the body is larger than 256 KiB");
+            client.readyExchanges.add(this);
+        } else if (entity.getContentLength() > MAX_BODY_BYTES) {
+            reject(413, "the body is larger than 256 KiB");
         } else if (head.containsHeader("Expect")) {
             channel.sendInformation(new BasicHttpResponse(100), ctx);
         }
@@ -135,23 +138,23 @@
     @Override
     public void updateCapacity(CapacityChannel channel) throws IOException {
         // after a final answer nothing more is read: the client may send gigabytes
-        if (!answered) {
+        if (!rejectedOrDispatched) {
             channel.update(Integer.MAX_VALUE);
         }
     }
 
     @Override
     public void consume(ByteBuffer bytes) {
-        if (answered) {
+        if (rejectedOrDispatched) {
             bytes.position(bytes.limit());
             return;
         }
-        if (body.size() + bytes.remaining() > MOST_BODY) {
-            turnAway(413, "the body is larger than 256 KiB");
-        } else if (!room.take(bytes.remaining())) {
-            turnAway(busyStatus(), "too many requests wait here");
+        if (body.size() + bytes.remaining() > MAX_BODY_BYTES) {
+            reject(413, "the body is larger than 256 KiB");
+        } else if (!allClients.reserveBodyBytes(bytes.remaining())) {
+            reject(overloadStatus(), "too many requests wait here");
         } else {
-            held += bytes.remaining();
+            reservedBodyBytes += bytes.remaining();
             byte[] copy = new byte[bytes.remaining()];
             bytes.get(copy);
             body.writeBytes(copy);
@@ -161,16 +164,16 @@
 
     @Override
     public void streamEnd(List<? extends Header> trailers) {
-        client.body = false;
-        if (!answered) {
-            client.whole.add(this);
+        client.receivingBody = false;
+        if (!rejectedOrDispatched) {
+            client.readyExchanges.add(this);
         }
     }
 
     /** The body is malformed. */
-    void unreadable(String why) {
-        if (!answered) {
-            turnAway(400, why);
+    void rejectMalformedBody(String reason) {
+        if (!rejectedOrDispatched) {
+            reject(400, reason);
         }
     }
 
@@ -178,29 +181,29 @@
      * The status while overloaded: 503, but 500 for a request that resumes an earlier one, as after a refusal its client
      * would start again from the beginning.
      */
-    private int busyStatus() {
+    private int overloadStatus() {
         Header retried = request.getFirstHeader("X-Retried");
-        return retried != null && HttpCall.resumes(retried.getValue()) ? 500 : 503;
+        return retried != null && HttpCall.isResumption(retried.getValue()) ? 500 : 503;
     }
 
     /** Answers a request without reading the rest of its body; the connection closes once the answer is sent. */
-    private void turnAway(int status, String why) {
-        answered = true;
+    private void reject(int status, String reason) {
+        rejectedOrDispatched = true;
         body.reset();
-        client.body = false;
-        unread = true;
-        client.deaf = true;
+        client.receivingBody = false;
+        requestUnread = true;
+        client.ignoresRequests = true;
         client.closeAt = clock.instant().plus(Duration.ofDays(1)); // the answer may have to wait for earlier ones
         client.session.clearEvent(SelectionKey.OP_READ);
         Header requestClass = request.getFirstHeader("X-Priority-Class");
-        turnedAway.told(requestClass == null ? null : requestClass.getValue(), status);
-        whole(
+        rejectionListener.rejected(requestClass == null ? null : requestClass.getValue(), status);
+        respond(
                 status,
                 "text/plain",
-                status >= 500 && client.unreadable == null
+                status >= 500 && client.parseError == null
                         ? Map.of("Connection", "close", "Retry-After", "1")
                         : Map.of("Connection", "close"),
-                (why + "\n").getBytes(StandardCharsets.US_ASCII));
+                (reason + "\n").getBytes(StandardCharsets.US_ASCII));
     }
 
     /**
@@ -208,95 +211,96 @@
      * dropped if the client has gone by then.
      */
     void dispatch() {
-        if (over.get()) {
+        if (finished.get()) {
             return;
         }
-        answered = true;
+        rejectedOrDispatched = true;
         Map<String, String> headers = new HashMap<>();
         for (Header header : request.getHeaders()) {
             // repeated headers are joined, so that two IDs or timeouts are invalid instead of the first one winning
             headers.merge(header.getName().toLowerCase(Locale.ROOT), header.getValue(), (a, b) -> a + ", " + b);
         }
         try {
-            toldGone = front.accept(
+            onClientGone = front.accept(
                     new HttpCall(
                             request.getMethod(),
                             request.getPath(),
                             Map.copyOf(headers),
                             body.toByteArray(),
-                            arrived,
-                            queued),
+                            arrivedAt,
+                            maxQueueTime),
                     this);
         } catch (RuntimeException | Error e) { // HttpCore would close the connection without an answer
             LOG.log(Level.SEVERE, "a front failed to accept a request", e);
-            whole(500, "text/plain", Map.of("Connection", "close"), "failed\n".getBytes(StandardCharsets.US_ASCII));
+            respond(500, "text/plain", Map.of("Connection", "close"), "failed\n".getBytes(StandardCharsets.US_ASCII));
         }
-        if (over.get()) {
-            toldGone.run();
+        if (finished.get()) {
+            onClientGone.run();
         }
     }
 
     // ---- the answer ----------------------------------------------------------------------------
 
     @Override
-    public void whole(int status, String contentType, Map<String, String> headers, byte[] bytes) {
-        pieces.add(new Piece(ByteBuffer.wrap(bytes), null));
-        last = Last.WHOLE;
-        send(status, contentType, headers, bytes.length);
+    public void respond(int status, String contentType, Map<String, String> headers, byte[] bytes) {
+        pendingWrites.add(new PendingWrite(ByteBuffer.wrap(bytes), null));
+        endState = EndState.COMPLETE;
+        sendHead(status, contentType, headers, bytes.length);
     }
 
     @Override
-    public void begin(String contentType, Map<String, String> headers) {
-        send(200, contentType, headers, -1);
+    public void beginStream(String contentType, Map<String, String> headers) {
+        sendHead(200, contentType, headers, -1);
     }
 
-    private void send(int status, String contentType, Map<String, String> headers, long length) {
+    private void sendHead(int status, String contentType, Map<String, String> headers, long length) {
         BasicHttpResponse response = new BasicHttpResponse(status);
-        boolean closes = draining.getAsBoolean() || room.crowded();
-        closing = closes || headers.containsKey("Connection");
+        boolean announcesClose = draining.getAsBoolean() || allClients.isCrowded();
+        closesAfterAnswer = announcesClose || headers.containsKey("Connection");
         headers.forEach(response::setHeader);
-        if (closes) {
+        if (announcesClose) {
             response.setHeader("Connection", "close");
         }
         try {
-            responses.sendResponse(response, new BasicEntityDetails(length, ContentType.parse(contentType)), context);
+            responseChannel.sendResponse(
+                    response, new BasicEntityDetails(length, ContentType.parse(contentType)), context);
         } catch (IOException | HttpException e) {
             client.session.close(CloseMode.GRACEFUL);
         }
     }
 
     @Override
-    public void write(byte[] bytes, Runnable drained) {
+    public void write(byte[] bytes, Runnable onDrained) {
         // a fast server can exceed its receive window, as HttpCore reads on while data is available; hence this limit
-        if (waiting.addAndGet(bytes.length) > MOST_WAITING) {
+        if (bufferedBytes.addAndGet(bytes.length) > MAX_BUFFERED_BYTES) {
             client.session.close(CloseMode.GRACEFUL);
             return;
         }
-        pieces.add(new Piece(ByteBuffer.wrap(bytes), drained));
-        flush();
+        pendingWrites.add(new PendingWrite(ByteBuffer.wrap(bytes), onDrained));
+        requestOutput();
     }
 
     @Override
-    public void end() {
-        last = Last.WHOLE;
-        flush();
+    public void endStream() {
+        endState = EndState.COMPLETE;
+        requestOutput();
     }
 
     @Override
     public void abort() {
-        last = Last.CUT;
-        client.ending = true;
-        client.closeAt = clock.instant().plus(CUT_TIME);
-        flush();
+        endState = EndState.ABORTED;
+        client.ignoresInput = true;
+        client.closeAt = clock.instant().plus(ABORT_FLUSH_TIME);
+        requestOutput();
     }
 
     @Override
-    public boolean gone() {
-        return gone;
+    public boolean isClientGone() {
+        return clientGone;
     }
 
-    private void flush() {
-        DataStreamChannel channel = output;
+    private void requestOutput() {
+        DataStreamChannel channel = outputChannel;
         if (channel != null) {
             channel.requestOutput();
         }
@@ -304,7 +308,7 @@
 
     @Override
     public int available() {
-        return pieces.isEmpty() && last == Last.NONE ? 0 : 1;
+        return pendingWrites.isEmpty() && endState == EndState.NONE ? 0 : 1;
     }
 
     /**
@@ -313,62 +317,63 @@
      */
     @Override
     public void produce(DataStreamChannel channel) throws IOException {
-        output = channel;
-        int turns = 1;
-        if (producing.getAndAdd(1) != 0) {
+        outputChannel = channel;
+        int calls = 1;
+        if (pendingProduceCalls.getAndAdd(1) != 0) {
             return;
         }
         do {
-            drain(channel);
-            turns = producing.addAndGet(-turns);
-        } while (turns > 0);
+            writePending(channel);
+            calls = pendingProduceCalls.addAndGet(-calls);
+        } while (calls > 0);
     }
 
-    private void drain(DataStreamChannel channel) throws IOException {
-        Last state = last;
-        Piece piece = pieces.peek();
+    private void writePending(DataStreamChannel channel) throws IOException {
+        EndState endStateBefore = endState;
+        PendingWrite next = pendingWrites.peek();
         int written = 0;
-        while (piece != null) {
-            if (written > MOST_A_TURN) {
+        while (next != null) {
+            if (written > MAX_WRITE_BYTES_PER_TURN) {
                 return; // a fast server and client could keep this thread writing for ever
             }
-            int count = piece.bytes().hasRemaining() ? channel.write(piece.bytes()) : 0;
-            if (count == 0 && piece.bytes().hasRemaining()) {
+            int count = next.bytes().hasRemaining() ? channel.write(next.bytes()) : 0;
+            if (count == 0 && next.bytes().hasRemaining()) {
                 return;
             }
             written += count;
-            if (!piece.bytes().hasRemaining()) {
-                pieces.poll();
-                waiting.addAndGet(-piece.bytes().capacity());
-                if (piece.drained() != null) {
-                    piece.drained().run();
+            if (!next.bytes().hasRemaining()) {
+                pendingWrites.poll();
+                bufferedBytes.addAndGet(-next.bytes().capacity());
+                if (next.onDrained() != null) {
+                    next.onDrained().run();
                 }
             }
-            piece = pieces.peek();
+            next = pendingWrites.peek();
         }
-        if (state == Last.WHOLE && over.compareAndSet(false, true)) {
-            // endStream comes before releaseRequest(): this may be the actors' thread, and in between the reactor's thread
+        if (endStateBefore == EndState.COMPLETE && finished.compareAndSet(false, true)) {
+            // endStream comes before releaseRequest(): this may be the actors' thread, and in between the reactor's
+            // thread
             // would see a connection with nothing left to write and close it, or a stop would find no open request
-            client.ending = closing || client.ending;
+            client.ignoresInput = closesAfterAnswer || client.ignoresInput;
             channel.endStream(null);
-            ended();
-            if (closing) {
+            releaseRequest();
+            if (closesAfterAnswer) {
                 // HttpCore does not close while more requests are pipelined on this connection. If the head was sent
                 // before a drain began, it announced no close and the next request may be on its way: then its answer
                 // announces the close, or the connection is closed once it is idle
-                client.closeAt = clock.instant().plus(unread ? LINGER : Duration.ZERO);
-                client.lingers = unread;
+                client.closeAt = clock.instant().plus(requestUnread ? LINGER_TIME : Duration.ZERO);
+                client.lingersBeforeClose = requestUnread;
                 client.wake(); // the reactor may already have written the end
             }
-        } else if (state == Last.CUT) {
-            if (cutSeen) {
+        } else if (endStateBefore == EndState.ABORTED) {
+            if (abortSeen) {
                 // no last chunk: the client must see that the stream is incomplete
-                if (over.compareAndSet(false, true)) {
-                    ended();
+                if (finished.compareAndSet(false, true)) {
+                    releaseRequest();
                 }
                 client.session.close(CloseMode.GRACEFUL);
             } else {
-                cutSeen = true;
+                abortSeen = true;
                 channel.requestOutput();
             }
         }
@@ -376,16 +381,16 @@
 
     @Override
     public void failed(Exception cause) {
-        if (over.compareAndSet(false, true)) {
-            gone = true;
-            ended();
-            toldGone.run();
+        if (finished.compareAndSet(false, true)) {
+            clientGone = true;
+            releaseRequest();
+            onClientGone.run();
         }
     }
 
-    private void ended() {
-        room.free(held);
-        client.end(clock.instant());
+    private void releaseRequest() {
+        allClients.releaseBodyBytes(reservedBodyBytes);
+        client.requestEnded(clock.instant());
     }
 
     @Override
--- a/src/soak/java/copperbeam/soak/ClientDriver.java
+++ b/src/soak/java/copperbeam/soak/ClientDriver.java
@@ -13,16 +13,16 @@
  */
 final class ClientDriver {
     private static final int CONNECT_MS = 1000;
-    private static final int PATIENCE_MS = 5000; // how long a client waits beyond its deadline
+    private static final int ANSWER_TIMEOUT_MARGIN_MS = 5000; // how long a client waits beyond its deadline
     private static final int SETTLE_MS = 50; // time for a reset to arrive behind a close
-    private static final int LARGE = 200 * 1024; // bytes of a large body
+    private static final int LARGE_BODY_BYTES = 200 * 1024; // bytes of a large body
     // 1 in 20 pauses between two requests on a connection is of up to this length
-    private static final int MOST_PAUSE_MS = 2500;
-    private static final int MOST_THINK_MS = 120; // the other pauses
+    private static final int MAX_LONG_PAUSE_MS = 2500;
+    private static final int MAX_PAUSE_MS = 120; // the other pauses
     // pauses where costs are uneven: longer, so that each conductor has few requests
-    private static final int UNEVEN_THINK_MS = 1000;
-    private static final int HEAVY_EACH = 12; // 1 in 12 requests is heavy where costs are uneven
-    private static final int LEAST_DEADLINE_MS = 600;
+    private static final int MAX_UNEVEN_PAUSE_MS = 1000;
+    private static final int HEAVY_REQUEST_INTERVAL = 12; // 1 in 12 requests is heavy where costs are uneven
+    private static final int MIN_DEADLINE_MS = 600;
 
     /** What to do after a request. */
     private enum Next {
@@ -36,8 +36,8 @@
     private final SoakSettings settings;
     private final History history;
     private final Random random;
-    private final AtomicBoolean over;
-    private int number;
+    private final AtomicBoolean finished;
+    private int nextNumber;
 
     ClientDriver(
             String name,
@@ -45,27 +45,27 @@
             SoakSettings settings,
             History history,
             Random random,
-            AtomicBoolean over) {
+            AtomicBoolean finished) {
         this.name = name;
         this.conductors = conductors;
         this.settings = settings;
         this.history = history;
         this.random = random;
-        this.over = over;
+        this.finished = finished;
     }
 
     void run() throws InterruptedException {
-        String again = null;
-        while (!over.get() || again != null) {
-            List<ConductorProcess> taking =
+        String resendId = null;
+        while (!finished.get() || resendId != null) {
+            List<ConductorProcess> available =
                     conductors.stream().filter(ConductorProcess::takesClients).toList();
-            if (taking.isEmpty()) {
+            if (available.isEmpty()) {
                 Thread.sleep(SETTLE_MS);
                 continue;
             }
-            ConductorProcess to = taking.get(random.nextInt(taking.size()));
-            try (HttpConnection connection = HttpConnection.to(to.address, CONNECT_MS)) {
-                again = converse(connection, to, again);
+            ConductorProcess conductor = available.get(random.nextInt(available.size()));
+            try (HttpConnection connection = HttpConnection.connect(conductor.address, CONNECT_MS)) {
+                resendId = useConnection(connection, conductor, resendId);
             } catch (IOException e) {
                 Thread.sleep(SETTLE_MS); // the conductor isn't running
             }
@@ -76,19 +76,19 @@
      * Sends a drawn number of requests over one connection; while the conductor stops it goes on until the conductor closes the
      * connection. Returns the id of a request that has to be sent again, or null.
      */
-    private String converse(HttpConnection connection, ConductorProcess to, String again)
+    private String useConnection(HttpConnection connection, ConductorProcess conductor, String resendId)
             throws IOException, InterruptedException {
-        String id = again;
-        for (int left = 1 + random.nextInt(20);
-                (left > 0 || !to.takesClients()) && !(over.get() && id == null);
-                left--) {
+        String id = resendId;
+        for (int remaining = 1 + random.nextInt(20);
+                (remaining > 0 || !conductor.takesClients()) && !(finished.get() && id == null);
+                remaining--) {
             if (id == null) {
-                boolean pauses = random.nextInt(20) == 0 && to.takesClients();
-                Thread.sleep(
-                        random.nextInt(pauses ? MOST_PAUSE_MS : settings.uneven() ? UNEVEN_THINK_MS : MOST_THINK_MS));
+                boolean longPause = random.nextInt(20) == 0 && conductor.takesClients();
+                Thread.sleep(random.nextInt(
+                        longPause ? MAX_LONG_PAUSE_MS : settings.uneven() ? MAX_UNEVEN_PAUSE_MS : MAX_PAUSE_MS));
             }
-            id = id == null ? name + "-" + number++ : id;
-            Next next = ask(connection, to, id);
+            id = id == null ? name + "-" + nextNumber++ : id;
+            Next next = sendRequest(connection, conductor, id);
             if (next == Next.SEND_AGAIN) {
                 return id;
             }
@@ -101,7 +101,7 @@
     }
 
     /** The bytes of an HTTP request in the form that the protocol's page describes. */
-    static String text(String id, RequestKind kind, int tokens, String session, long deadlineMs, String body) {
+    static String requestText(String id, RequestKind kind, int tokens, String session, long deadlineMs, String body) {
         return "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nX-Request-ID: " + id + "\r\nX-Priority-Class: "
                 + kind.requestClass + "\r\nX-Route-Key: " + session + "\r\nX-Timeout: " + deadlineMs
                 + "m\r\nIdempotency-Key: " + id + "\r\nX-Attrs: prompt_len=" + tokens + ",max_out=9\r\nContent-Length: "
@@ -112,7 +112,7 @@
         if (!settings.uneven()) {
             return RequestKind.values()[random.nextInt(RequestKind.values().length)];
         }
-        return random.nextInt(HEAVY_EACH) == 0
+        return random.nextInt(HEAVY_REQUEST_INTERVAL) == 0
                 ? RequestKind.UNSAFE
                 : random.nextBoolean() ? RequestKind.SAFE : RequestKind.KEYED;
     }
@@ -120,37 +120,39 @@
     /** The deadline is the same for all requests where the oracle compares the served shares of classes. */
     private long drawDeadlineMs() {
         int longest = (int) settings.longestDeadlineMs();
-        return settings.uneven() ? longest : LEAST_DEADLINE_MS + random.nextInt(longest - LEAST_DEADLINE_MS);
+        return settings.uneven() ? longest : MIN_DEADLINE_MS + random.nextInt(longest - MIN_DEADLINE_MS);
     }
 
-    private Next ask(HttpConnection connection, ConductorProcess to, String id) throws InterruptedException {
+    private Next sendRequest(HttpConnection connection, ConductorProcess conductor, String id)
+            throws InterruptedException {
         RequestKind kind = drawKind();
         long deadlineMs = drawDeadlineMs();
-        String body = "{\"a\":\"" + "x".repeat(random.nextInt(25) == 0 ? LARGE : random.nextInt(300)) + "\"}";
-        String text = text(id, kind, kind.promptTokens(settings.uneven()), name, deadlineMs, body);
+        String body =
+                "{\"a\":\"" + "x".repeat(random.nextInt(25) == 0 ? LARGE_BODY_BYTES : random.nextInt(300)) + "\"}";
+        String text = requestText(id, kind, kind.promptTokens(settings.uneven()), name, deadlineMs, body);
         boolean sent = false;
         try {
-            int cut = random.nextInt(8) == 0 ? random.nextInt(text.length() - 1) : 0;
-            if (cut > 0) {
-                connection.send(text.substring(0, cut));
+            int firstEnd = random.nextInt(8) == 0 ? random.nextInt(text.length() - 1) : 0;
+            if (firstEnd > 0) {
+                connection.send(text.substring(0, firstEnd));
                 if (random.nextInt(4) == 0) {
                     return Next.NEW_CONNECTION; // the client leaves within the request
                 }
                 Thread.sleep(random.nextInt(400));
             }
             // a large body blocks here while the conductor does not read; the request counts as sent with its last byte
-            int last = body.length() < LARGE ? cut : text.length() - 1;
-            connection.send(text.substring(cut, last));
-            long at = System.nanoTime();
-            connection.send(text.substring(last));
+            int lastStart = body.length() < LARGE_BODY_BYTES ? firstEnd : text.length() - 1;
+            connection.send(text.substring(firstEnd, lastStart));
+            long sentAt = System.nanoTime();
+            connection.send(text.substring(lastStart));
             sent = true;
-            history.add(new Observation.Sent(at, id, kind, to.name, deadlineMs));
+            history.add(new Observation.Sent(sentAt, id, kind, conductor.name, deadlineMs));
             if (random.nextInt(12) == 0) {
-                leave(connection, id);
+                abandon(connection, id);
                 return Next.NEW_CONNECTION;
             }
-            connection.timeout((int) deadlineMs + PATIENCE_MS);
-            return answered(connection, id);
+            connection.setReadTimeout((int) deadlineMs + ANSWER_TIMEOUT_MARGIN_MS);
+            return readAnswer(connection, id);
         } catch (SocketTimeoutException e) {
             history.add(new Observation.NeverAnswered(System.nanoTime(), id));
             return Next.NEW_CONNECTION;
@@ -159,7 +161,7 @@
         }
     }
 
-    private void leave(HttpConnection connection, String id) throws IOException, InterruptedException {
+    private void abandon(HttpConnection connection, String id) throws IOException, InterruptedException {
         Thread.sleep(random.nextInt(300));
         if (random.nextInt(3) == 0) {
             connection.reset();
@@ -169,14 +171,14 @@
         history.add(new Observation.ClientGone(System.nanoTime(), id));
     }
 
-    private Next answered(HttpConnection connection, String id) throws IOException, InterruptedException {
+    private Next readAnswer(HttpConnection connection, String id) throws IOException, InterruptedException {
         Message answer = connection.read();
         if (answer == null) {
-            return closed(connection, id);
+            return handleClose(connection, id);
         }
         history.add(new Observation.Answered(
-                System.nanoTime(), id, Integer.parseInt(answer.word(1)), answer.whole(), answer.body()));
-        boolean closes = !answer.whole() || "close".equalsIgnoreCase(answer.header("Connection"));
+                System.nanoTime(), id, Integer.parseInt(answer.word(1)), answer.complete(), answer.body()));
+        boolean closes = !answer.complete() || "close".equalsIgnoreCase(answer.header("Connection"));
         return closes ? Next.NEW_CONNECTION : Next.SAME_CONNECTION;
     }
 
@@ -184,7 +186,7 @@
      * Handles a connection that was closed without an answer. If the conductor left the request unread, a reset follows the close and
      * a further write fails; the request may be sent again then.
      */
-    private Next closed(HttpConnection connection, String id) throws InterruptedException {
+    private Next handleClose(HttpConnection connection, String id) throws InterruptedException {
         Thread.sleep(SETTLE_MS);
         try {
             connection.send("x");
--- a/src/soak/java/copperbeam/soak/ConductorLife.java
+++ b/src/soak/java/copperbeam/soak/ConductorLife.java
@@ -6,8 +6,8 @@
 
 /** Starts, stops, kills and upgrades one conductor during a run, as the platform does, and notes how its processes ended. */
 final class ConductorLife {
-    private static final long READY_MS = 10_000; // the longest time from a start to readiness that breaks no rule
-    private static final long LAST_NEW_MS = 300; // clients open new connections for this long after SIGTERM
+    private static final long READY_LIMIT_MS = 10_000; // the longest time from a start to readiness that breaks no rule
+    private static final long NEW_CONNECTIONS_MS = 300; // clients open new connections for this long after SIGTERM
     private static final int SIGNAL_PAUSE_MS = 200; // between further signals to a process that is stopping
 
     private final ConductorProcess conductor;
@@ -28,11 +28,11 @@
     }
 
     /** Carries out a trouble that restarts the conductor; does nothing while an earlier one is in progress. */
-    void renew(TroublePlan.Trouble trouble) throws IOException, InterruptedException {
+    void carryOut(TroublePlan.Trouble trouble) throws IOException, InterruptedException {
         if (!changing.compareAndSet(false, true)) {
             return;
         }
-        if (trouble.kind() == TroublePlan.Kind.CONDUCTOR_UPGRADED && conductor.operated()) {
+        if (trouble.kind() == TroublePlan.Kind.CONDUCTOR_UPGRADED && conductor.hasControl()) {
             upgrade();
         } else if (trouble.kind() == TroublePlan.Kind.CONDUCTOR_KILLED) {
             kill(trouble.lengthMs());
@@ -59,26 +59,26 @@
 
     private void restart() throws IOException, InterruptedException {
         Daemon.start("front", () -> {
-            Thread.sleep(LAST_NEW_MS);
+            Thread.sleep(NEW_CONNECTIONS_MS);
             conductor.takesClients(false);
         });
         stop(conductor.process());
-        Thread.sleep(LAST_NEW_MS);
+        Thread.sleep(NEW_CONNECTIONS_MS);
         startAgain();
     }
 
     private void startAgain() throws IOException, InterruptedException {
-        conductor.configure(site.agent(conductor).host());
+        conductor.configure(site.agent(conductor).hostAndPort());
         conductor.start();
         awaitReady();
         conductor.takesClients(true);
     }
 
     private void awaitReady() throws InterruptedException {
-        long passed = conductor.awaitReady(SoakSite.START_MS);
-        if (passed < 0 || passed > READY_MS) {
+        long elapsedMs = conductor.awaitReady(SoakSite.START_TIMEOUT_MS);
+        if (elapsedMs < 0 || elapsedMs > READY_LIMIT_MS) {
             site.history.add(new Observation.NotReady(
-                    System.nanoTime(), conductor.name, passed < 0 ? SoakSite.START_MS : passed));
+                    System.nanoTime(), conductor.name, elapsedMs < 0 ? SoakSite.START_TIMEOUT_MS : elapsedMs));
         }
     }
 
@@ -87,30 +87,30 @@
         stop(conductor.process());
     }
 
-    private void stop(Process which) throws IOException, InterruptedException {
-        boolean lived = which.isAlive();
-        long began = System.nanoTime();
-        ConductorProcess.signal(which, "TERM");
-        Thread more = Daemon.start("signals", () -> signalAgain(which));
-        boolean ended = ConductorProcess.awaitEnd(which, killMs);
-        more.interrupt();
+    private void stop(Process process) throws IOException, InterruptedException {
+        boolean wasAlive = process.isAlive();
+        long startNs = System.nanoTime();
+        ConductorProcess.signal(process, "TERM");
+        Thread furtherSignals = Daemon.start("signals", () -> signalAgain(process));
+        boolean ended = ConductorProcess.awaitEnd(process, killMs);
+        furtherSignals.interrupt();
         if (!ended) {
             site.history.add(new Observation.Overstayed(System.nanoTime(), conductor.name));
             site.history.add(new Observation.Killed(System.nanoTime(), conductor.name));
-            which.destroyForcibly().waitFor();
+            process.destroyForcibly().waitFor();
             return;
         }
-        long since = (System.nanoTime() - began) / 1_000_000;
-        int code = which.exitValue();
-        site.history.add(new Observation.Exited(System.nanoTime(), conductor.name, code, lived, since));
+        long elapsedMs = (System.nanoTime() - startNs) / 1_000_000;
+        int code = process.exitValue();
+        site.history.add(new Observation.Exited(System.nanoTime(), conductor.name, code, wasAlive, elapsedMs));
     }
 
     /** Sends further signals to a process that is stopping, which it has to ignore. */
-    private static void signalAgain(Process which) throws IOException, InterruptedException {
+    private static void signalAgain(Process process) throws IOException, InterruptedException {
         for (String signal : List.of("HUP", "TERM", "HUP", "TERM")) {
             Thread.sleep(SIGNAL_PAUSE_MS);
-            if (which.isAlive()) {
-                ConductorProcess.signal(which, signal);
+            if (process.isAlive()) {
+                ConductorProcess.signal(process, signal);
             }
         }
     }
--- a/src/soak/java/copperbeam/soak/ConductorProcess.java
+++ b/src/soak/java/copperbeam/soak/ConductorProcess.java
@@ -21,7 +21,7 @@
 
 /** One conductor under test: its address, its folder and its current process, over restarts and upgrades. */
 final class ConductorProcess implements AutoCloseable {
-    private static final List<String> OPTIONS = List.of(
+    private static final List<String> JVM_OPTIONS = List.of(
             "-XX:+UseSerialGC",
             "-XX:TieredStopAtLevel=1",
             "-Xms24m",
@@ -30,29 +30,30 @@
             "-XX:MaxMetaspaceSize=48m",
             "-XX:ReservedCodeCacheSize=24m");
     private static final int CONNECT_MS = 500;
-    private static final int LOOK_MS = 10;
+    private static final int POLL_MS = 10;
     private static final int FIRST_PORT = 10_000;
     private static final int LAST_PORT = 16_384;
 
     final String name;
     final InetSocketAddress address;
     final FaultShim shim;
-    private final boolean operated; // listens for operators' commands, without which a process can't be upgraded
+    private final boolean hasControl; // listens for operators' commands, without which a process can't be upgraded
     private final Path folder;
-    private final Function<String, String> file; // the configuration file's text for an address of discovery
+    private final Function<String, String> configText; // the configuration file's text for an address of discovery
     private volatile String discovery;
-    private volatile InetSocketAddress door;
+    private volatile InetSocketAddress controlAddress;
     private volatile Process process;
     private volatile boolean takesClients;
-    private int starts;
+    private int startCount;
 
-    ConductorProcess(String name, Path folder, boolean operated, String settings) throws IOException {
+    ConductorProcess(String name, Path folder, boolean hasControl, String settings) throws IOException {
         this.name = name;
         this.folder = Files.createDirectories(folder);
-        this.operated = operated;
+        this.hasControl = hasControl;
         address = freeAddress();
         shim = new FaultShim(folder);
-        file = at -> "{\"name\":\"" + name + "\",\"listen\":\"" + host(address) + "\",\"discovery\":\"" + at
+        configText = discoveryAddress -> "{\"name\":\"" + name + "\",\"listen\":\"" + hostAndPort(address)
+                + "\",\"discovery\":\"" + discoveryAddress
                 + "\",\"limits\":{\"memory_mb\":192,\"sockets\":512},\"settings\":" + settings + "}";
     }
 
@@ -71,8 +72,8 @@
         }
     }
 
-    private static String host(InetSocketAddress at) {
-        return "127.0.0.1:" + at.getPort();
+    private static String hostAndPort(InetSocketAddress socketAddress) {
+        return "127.0.0.1:" + socketAddress.getPort();
     }
 
     /** Whether clients should open connections to this conductor. */
@@ -80,12 +81,12 @@
         return takesClients;
     }
 
-    void takesClients(boolean now) {
-        takesClients = now;
+    void takesClients(boolean accepting) {
+        takesClients = accepting;
     }
 
-    boolean operated() {
-        return operated;
+    boolean hasControl() {
+        return hasControl;
     }
 
     Process process() {
@@ -95,30 +96,30 @@
     void configure(String newDiscovery) throws IOException {
         discovery = newDiscovery;
         Path next = folder.resolve("next");
-        Files.writeString(next, file.apply(newDiscovery));
+        Files.writeString(next, configText.apply(newDiscovery));
         Files.move(next, folder.resolve("config.json"), StandardCopyOption.REPLACE_EXISTING);
     }
 
     /** Starts a process; a previous process, if any, keeps running beside it, as in an upgrade. */
     Process start() throws IOException {
-        starts++;
+        startCount++;
         List<String> command = new ArrayList<>();
         command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
-        command.addAll(OPTIONS);
+        command.addAll(JVM_OPTIONS);
         command.addAll(List.of(
                 "-cp",
                 System.getProperty("java.class.path"),
                 Main.class.getName(),
                 "serve",
                 "--record",
-                folder.resolve("recorded-" + starts).toString()));
+                folder.resolve("recorded-" + startCount).toString()));
         ProcessBuilder builder = new ProcessBuilder(command);
         builder.environment().put("GW_CONFIG", folder.resolve("config.json").toString());
         builder.environment().put("GW_DISCOVERY", discovery);
         builder.environment().put("TMPDIR", folder.toString());
-        if (operated) {
-            door = freeAddress();
-            builder.environment().put("GW_CONTROL", host(door));
+        if (hasControl) {
+            controlAddress = freeAddress();
+            builder.environment().put("GW_CONTROL", hostAndPort(controlAddress));
         }
         shim.preload(builder.environment());
         process =
@@ -128,19 +129,19 @@
 
     /** Waits until the conductor is ready; returns the time that took in milliseconds, or -1 if it exceeded {@code withinMs}. */
     long awaitReady(long withinMs) throws InterruptedException {
-        long began = System.nanoTime();
-        for (long passed = 0; passed < withinMs; passed = (System.nanoTime() - began) / 1_000_000) {
-            if (operated ? says("PING", "ACK") : healthy()) {
-                return passed;
+        long startNs = System.nanoTime();
+        for (long elapsedMs = 0; elapsedMs < withinMs; elapsedMs = (System.nanoTime() - startNs) / 1_000_000) {
+            if (hasControl ? controlAnswers("PING", "ACK") : healthy()) {
+                return elapsedMs;
             }
-            Thread.sleep(LOOK_MS);
+            Thread.sleep(POLL_MS);
         }
         return -1;
     }
 
     private boolean healthy() {
-        try (HttpConnection connection = HttpConnection.to(address, CONNECT_MS)) {
-            connection.timeout(CONNECT_MS);
+        try (HttpConnection connection = HttpConnection.connect(address, CONNECT_MS)) {
+            connection.setReadTimeout(CONNECT_MS);
             connection.send("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
             HttpConnection.Message answer = connection.read();
             return answer != null && answer.word(1).equals("200");
@@ -151,19 +152,19 @@
 
     /** The log of the process that was started last. */
     Path log() {
-        return folder.resolve("log-" + starts);
+        return folder.resolve("log-" + startCount);
     }
 
     /** Opens a connection to the address for operators' commands. */
-    Socket caller() throws IOException {
+    Socket connectToControl() throws IOException {
         Socket socket = new Socket();
-        socket.connect(door, CONNECT_MS);
+        socket.connect(controlAddress, CONNECT_MS);
         return socket;
     }
 
     /** Sends an operators' command; returns whether the first line of the answer starts with {@code answer}. */
-    boolean says(String line, String answer) {
-        try (Socket socket = caller()) {
+    boolean controlAnswers(String line, String answer) {
+        try (Socket socket = connectToControl()) {
             socket.setSoTimeout(CONNECT_MS);
             socket.getOutputStream().write((line + "\n").getBytes(StandardCharsets.US_ASCII));
             BufferedReader in =
@@ -175,15 +176,15 @@
         }
     }
 
-    static void signal(Process to, String signal) throws IOException, InterruptedException {
-        new ProcessBuilder("kill", "-" + signal, Long.toString(to.pid()))
+    static void signal(Process target, String signal) throws IOException, InterruptedException {
+        new ProcessBuilder("kill", "-" + signal, Long.toString(target.pid()))
                 .start()
                 .waitFor();
     }
 
     /** Waits for the process to exit; returns whether it did so within {@code withinMs}. */
-    static boolean awaitEnd(Process which, long withinMs) throws InterruptedException {
-        return which.waitFor(withinMs, TimeUnit.MILLISECONDS);
+    static boolean awaitEnd(Process target, long withinMs) throws InterruptedException {
+        return target.waitFor(withinMs, TimeUnit.MILLISECONDS);
     }
 
     @Override
--- a/src/soak/java/copperbeam/soak/DiscoveryAgent.java
+++ b/src/soak/java/copperbeam/soak/DiscoveryAgent.java
@@ -22,7 +22,7 @@
         GARBLES
     }
 
-    private static final int LOOK_MS = 10;
+    private static final int POLL_MS = 10;
 
     private final String conductor;
     private final Fleet fleet;
@@ -42,7 +42,7 @@
         Daemon.start("discovery", this::accept);
     }
 
-    String host() {
+    String hostAndPort() {
         return "127.0.0.1:" + listener.getLocalPort();
     }
 
@@ -59,46 +59,46 @@
                 String target = call.word(1);
                 boolean watch = target.contains("from=");
                 long from = watch ? Long.parseLong(target.replaceAll(".*from=(\\d+).*", "$1")) : -1;
-                long hold = watch ? Long.parseLong(target.replaceAll(".*hold_ms=(\\d+).*", "$1")) : 0;
-                Map<String, Fleet.Entry> news = fleet.since(from, hold);
+                long holdMs = watch ? Long.parseLong(target.replaceAll(".*hold_ms=(\\d+).*", "$1")) : 0;
+                Map<String, Fleet.Entry> changes = fleet.changesSince(from, holdMs);
                 while (mode == Mode.SILENT) {
-                    Thread.sleep(LOOK_MS);
+                    Thread.sleep(POLL_MS);
                 }
-                answer(connection, news, from);
+                answer(connection, changes, from);
             }
         }
     }
 
-    private void answer(HttpConnection connection, Map<String, Fleet.Entry> news, long from) throws IOException {
+    private void answer(HttpConnection connection, Map<String, Fleet.Entry> changes, long from) throws IOException {
         if (mode == Mode.FAILS) {
-            connection.answer(500, "", "");
+            connection.sendAnswer(500, "", "");
             return;
         }
         boolean full = from < 0;
         long version =
-                news.values().stream().mapToLong(Fleet.Entry::version).max().orElse(from);
-        String servers = news.values().stream()
+                changes.values().stream().mapToLong(Fleet.Entry::version).max().orElse(from);
+        String servers = changes.values().stream()
                 .filter(e -> !full || !e.state().equals("left"))
-                .map(this::entry)
+                .map(this::entryJson)
                 .collect(Collectors.joining(","));
         String body = "{\"version\":" + version + ",\"full\":" + full + ",\"servers\":[" + servers + "]}";
-        connection.answer(200, "", mode == Mode.GARBLES ? body.substring(0, body.length() / 2) : body);
+        connection.sendAnswer(200, "", mode == Mode.GARBLES ? body.substring(0, body.length() / 2) : body);
         if (mode != Mode.GARBLES) {
-            news.values().stream()
+            changes.values().stream()
                     .filter(e -> !e.state().equals("active"))
-                    .forEach(e -> history.add(new Observation.DrainTold(System.nanoTime(), conductor, e.id())));
+                    .forEach(e -> history.add(new Observation.DrainAnnounced(System.nanoTime(), conductor, e.id())));
         }
     }
 
-    private String entry(Fleet.Entry e) {
+    private String entryJson(Fleet.Entry entry) {
         return String.format(
                 "{\"id\":\"%s\",\"addr\":\"%s\",\"zone\":\"a\",\"kind\":\"%s\",\"cell\":0,\"state\":\"%s\","
                         + "\"weight\":1.0,\"started_ms\":%d}",
-                e.id(),
-                addresses.apply(e.id()),
-                e.role() == Role.READER ? "prefill" : "decode",
-                e.state(),
-                e.startedMs());
+                entry.id(),
+                addresses.apply(entry.id()),
+                entry.role() == Role.READER ? "prefill" : "decode",
+                entry.state(),
+                entry.startedMs());
     }
 
     @Override
--- a/src/soak/java/copperbeam/soak/FaultProxy.java
+++ b/src/soak/java/copperbeam/soak/FaultProxy.java
@@ -29,18 +29,19 @@
          */
         SILENT,
         /** No new connection is established; existing ones work. */
-        LATE,
+        NO_NEW_CONNECTIONS,
         /** Bytes are forwarded in pieces of a few bytes. */
         TRICKLE
     }
 
-    private static final AtomicInteger HOSTS = new AtomicInteger();
-    private static final int HOSTS_A_NET = 250;
-    // larger than any burst of connects: if the queue overflows, the kernel drops handshakes that clients consider complete,
+    private static final AtomicInteger HOST_COUNTER = new AtomicInteger();
+    private static final int HOSTS_PER_NET = 250;
+    // larger than any burst of connects: if the queue overflows, the kernel drops handshakes that clients consider
+    // complete,
     // which delays their bytes
     static final int BACKLOG = 32;
-    private static final int LOOK_MS = 5;
-    private static final int PIECE = 7; // bytes
+    private static final int POLL_MS = 5;
+    private static final int PIECE_BYTES = 7; // bytes
 
     private final String conductor;
     private final InetSocketAddress server;
@@ -49,7 +50,7 @@
     private final Queue<ProxiedConnection> connections = new ConcurrentLinkedQueue<>();
     private volatile Mode mode = Mode.PASS;
     /** A deliberate defect, applied to what the conductor sends; or null. */
-    volatile UnaryOperator<String> plant;
+    volatile UnaryOperator<String> requestChange;
 
     FaultProxy(String conductor, InetSocketAddress server) throws IOException {
         this.conductor = conductor;
@@ -64,9 +65,9 @@
      * of them would use up the ports of a single address.
      */
     private static InetAddress nextHost() throws UnknownHostException {
-        int number = HOSTS.getAndIncrement();
+        int number = HOST_COUNTER.getAndIncrement();
         return InetAddress.getByAddress(
-                new byte[] {127, 1, (byte) (number / HOSTS_A_NET), (byte) (1 + number % HOSTS_A_NET)});
+                new byte[] {127, 1, (byte) (number / HOSTS_PER_NET), (byte) (1 + number % HOSTS_PER_NET)});
     }
 
     InetAddress host() {
@@ -82,24 +83,24 @@
     }
 
     /** Sets the state of the network from now on. */
-    void mode(Mode next) throws IOException {
+    void setMode(Mode next) throws IOException {
         mode = next;
-        if (holdsConnectionsUp()) {
-            wakeUp();
+        if (blocksNewConnections()) {
+            wakeAccept();
         }
     }
 
-    private boolean holdsConnectionsUp() {
-        return mode == Mode.SILENT || mode == Mode.LATE;
+    private boolean blocksNewConnections() {
+        return mode == Mode.SILENT || mode == Mode.NO_NEW_CONNECTIONS;
     }
 
     /**
      * Makes a blocked accept return, by connecting to the proxy's own listener. Polling the mode every few milliseconds instead took
      * a whole core for 80 proxies.
      */
-    private void wakeUp() throws IOException {
+    private void wakeAccept() throws IOException {
         try (Socket socket = new Socket()) {
-            socket.connect(listener.getLocalSocketAddress(), LOOK_MS);
+            socket.connect(listener.getLocalSocketAddress(), POLL_MS);
         } catch (SocketTimeoutException e) {
             Thread.yield(); // the accept queue is full, so no accept is blocked
         }
@@ -111,23 +112,23 @@
      */
     private void accept() throws IOException, InterruptedException {
         List<Socket> fillers = new ArrayList<>();
-        boolean held = false; // new connections were blocked until now
-        boolean full = false;
+        boolean wasBlocked = false; // new connections were blocked until now
+        boolean queueFull = false;
         while (true) {
-            if (holdsConnectionsUp()) {
-                held = true;
-                full = full || fill(fillers);
-                Thread.sleep(LOOK_MS);
+            if (blocksNewConnections()) {
+                wasBlocked = true;
+                queueFull = queueFull || fill(fillers);
+                Thread.sleep(POLL_MS);
                 continue;
             }
-            if (held) {
-                held = false;
-                full = false;
+            if (wasBlocked) {
+                wasBlocked = false;
+                queueFull = false;
                 dropQueued(fillers);
                 continue; // the mode may have changed again
             }
-            Socket near = listener.accept();
-            Daemon.start("connection", () -> carry(near));
+            Socket conductorSide = listener.accept();
+            Daemon.start("connection", () -> carry(conductorSide));
         }
     }
 
@@ -137,7 +138,7 @@
             filler.close();
         }
         fillers.clear();
-        listener.setSoTimeout(LOOK_MS);
+        listener.setSoTimeout(POLL_MS);
         try {
             while (true) {
                 Socket queued = listener.accept();
@@ -154,7 +155,7 @@
         while (fillers.size() <= BACKLOG) {
             Socket filler = new Socket();
             try {
-                filler.connect(listener.getLocalSocketAddress(), LOOK_MS);
+                filler.connect(listener.getLocalSocketAddress(), POLL_MS);
                 fillers.add(filler);
             } catch (SocketTimeoutException e) {
                 filler.close();
@@ -164,36 +165,36 @@
         return false;
     }
 
-    private void carry(Socket near) throws IOException, InterruptedException {
-        ProxiedConnection connection = new ProxiedConnection(conductor, this, near);
+    private void carry(Socket conductorSide) throws IOException, InterruptedException {
+        ProxiedConnection connection = new ProxiedConnection(conductor, this, conductorSide);
         connections.add(connection);
-        connection.carry(server);
+        connection.connectAndForward(server);
     }
 
-    void ended(ProxiedConnection connection) {
+    void remove(ProxiedConnection connection) {
         connections.remove(connection);
     }
 
     /** Whether the network is partitioned now. */
-    boolean silent() {
+    boolean isSilent() {
         return mode == Mode.SILENT;
     }
 
     /** Bytes that the conductor sent, altered by the deliberate defect if there is one. */
-    byte[] changed(byte[] bytes) {
-        UnaryOperator<String> change = plant;
+    byte[] applyChange(byte[] bytes) {
+        UnaryOperator<String> change = requestChange;
         String text = new String(bytes, StandardCharsets.ISO_8859_1);
         return (change == null ? text : change.apply(text)).getBytes(StandardCharsets.ISO_8859_1);
     }
 
     /** Writes the bytes, in small pieces where the mode says so. */
-    void write(Socket to, byte[] bytes) throws IOException {
+    void write(Socket target, byte[] bytes) throws IOException {
         if (mode != Mode.TRICKLE) {
-            to.getOutputStream().write(bytes);
+            target.getOutputStream().write(bytes);
             return;
         }
-        for (int from = 0; from < bytes.length; from += PIECE) {
-            to.getOutputStream().write(bytes, from, Math.min(PIECE, bytes.length - from));
+        for (int from = 0; from < bytes.length; from += PIECE_BYTES) {
+            target.getOutputStream().write(bytes, from, Math.min(PIECE_BYTES, bytes.length - from));
         }
     }
 
--- a/src/soak/java/copperbeam/soak/FaultShim.java
+++ b/src/soak/java/copperbeam/soak/FaultShim.java
@@ -18,27 +18,27 @@
  */
 public final class FaultShim {
     private static final Path SOURCE = Path.of("src", "soak", "c", "fault_shim.c");
-    private static final int PLACE = Long.BYTES;
+    private static final int SLOT_BYTES = Long.BYTES;
     private static final int CLOCK_OFFSET_NS = 0;
     private static final int SHORT_IO_BYTES = 1;
     private static final int SIGNAL_AT_LISTEN = 2;
     private static final int FAULTS = 8; // the first slot of the faults
     // slots per fault: error number, failures left, failures so far, calls to let pass first
-    private static final int FAULT_PLACES = 4;
-    private static final int SIZE = PLACE * (FAULTS + FAULT_PLACES * Fault.values().length);
+    private static final int FAULT_SLOTS = 4;
+    private static final int SIZE_BYTES = SLOT_BYTES * (FAULTS + FAULT_SLOTS * Fault.values().length);
     private static Path library;
 
     private final Path control;
-    private final MappedByteBuffer places;
+    private final MappedByteBuffer slots;
 
     /** Creates the control file in {@code folder}. */
     public FaultShim(Path folder) throws IOException {
         control = Files.createTempFile(folder, "shim", ".control");
-        Files.write(control, new byte[SIZE]);
+        Files.write(control, new byte[SIZE_BYTES]);
         try (FileChannel channel = FileChannel.open(control, StandardOpenOption.READ, StandardOpenOption.WRITE)) {
-            places = channel.map(FileChannel.MapMode.READ_WRITE, 0, SIZE);
+            slots = channel.map(FileChannel.MapMode.READ_WRITE, 0, SIZE_BYTES);
         }
-        places.order(ByteOrder.nativeOrder());
+        slots.order(ByteOrder.nativeOrder());
     }
 
     /** Sets the environment variables by which a new process loads the library and finds this control file. */
@@ -50,7 +50,7 @@
     /** The shared library, compiled by the system's C compiler at its first use. */
     private static synchronized Path library() throws IOException {
         if (library == null) {
-            Path built = Files.createTempDirectory("shim").resolve("fault_shim.so");
+            Path libraryFile = Files.createTempDirectory("shim").resolve("fault_shim.so");
             Process compiler = new ProcessBuilder(
                             "cc",
                             "-O1",
@@ -59,7 +59,7 @@
                             "-shared",
                             "-fPIC",
                             "-o",
-                            built.toString(),
+                            libraryFile.toString(),
                             SOURCE.toString(),
                             "-ldl")
                     .inheritIO()
@@ -72,51 +72,51 @@
                 Thread.currentThread().interrupt();
                 throw new IOException(e);
             }
-            library = built;
+            library = libraryFile;
         }
         return library;
     }
 
-    private void put(int place, long value) {
-        places.putLong(PLACE * place, value);
+    private void putSlot(int slot, long value) {
+        slots.putLong(SLOT_BYTES * slot, value);
     }
 
     /** Sets the process's wall clock ahead of the system's by this from now on; its monotonic clock is unaffected. */
-    public void clockOffset(Duration ahead) {
-        put(CLOCK_OFFSET_NS, ahead.toNanos());
+    public void setClockOffset(Duration ahead) {
+        putSlot(CLOCK_OFFSET_NS, ahead.toNanos());
     }
 
     /** Limits each read from and write to a socket to so many bytes from now on; 0: no limit. */
-    public void shortIo(int bytes) {
-        put(SHORT_IO_BYTES, bytes);
+    public void limitSocketIo(int bytes) {
+        putSlot(SHORT_IO_BYTES, bytes);
     }
 
     /** Makes the process send itself this signal at its next {@code listen} call. */
-    public void signalAtListen(int number) {
-        put(SIGNAL_AT_LISTEN, number);
+    public void signalAtListen(int signalNumber) {
+        putSlot(SIGNAL_AT_LISTEN, signalNumber);
     }
 
     /** Makes the next {@code times} calls fail with this error number; 0: none. */
     public void fail(Fault fault, int errorNumber, long times) {
-        int place = FAULTS + FAULT_PLACES * fault.ordinal();
-        put(place, errorNumber);
-        put(place + 1, times);
+        int slot = FAULTS + FAULT_SLOTS * fault.ordinal();
+        putSlot(slot, errorNumber);
+        putSlot(slot + 1, times);
     }
 
     /** Lets the next {@code spared} calls pass and makes all later ones fail with this error number. */
-    public void failAfter(Fault fault, int errorNumber, long survived) {
-        failAfter(fault, errorNumber, survived, Long.MAX_VALUE);
+    public void failAfter(Fault fault, int errorNumber, long spared) {
+        failAfter(fault, errorNumber, spared, Long.MAX_VALUE);
     }
 
     /** Lets the next {@code spared} calls pass and makes the {@code times} calls after them fail with this error number. */
-    public void failAfter(Fault fault, int errorNumber, long survived, long times) {
+    public void failAfter(Fault fault, int errorNumber, long spared, long times) {
         fail(fault, errorNumber, times);
-        put(FAULTS + FAULT_PLACES * fault.ordinal() + 3, survived);
+        putSlot(FAULTS + FAULT_SLOTS * fault.ordinal() + 3, spared);
     }
 
     /** The number of calls that the library has made fail so far. */
-    public long failed(Fault fault) {
-        return places.getLong(PLACE * (FAULTS + FAULT_PLACES * fault.ordinal() + 2));
+    public long failedCount(Fault fault) {
+        return slots.getLong(SLOT_BYTES * (FAULTS + FAULT_SLOTS * fault.ordinal() + 2));
     }
 
     /** Deletes the control file; a process that has mapped it keeps its mapping. */
--- a/src/soak/java/copperbeam/soak/Fleet.java
+++ b/src/soak/java/copperbeam/soak/Fleet.java
@@ -27,13 +27,15 @@
     }
 
     /** The entries changed after version {@code after}, by id; waits up to {@code waitMs} for the first such change. */
-    synchronized Map<String, Entry> since(long from, long waitMs) throws InterruptedException {
-        long until = System.nanoTime() + waitMs * 1_000_000;
-        for (long left = waitMs; version <= from && left > 0; left = (until - System.nanoTime()) / 1_000_000) {
-            wait(left);
+    synchronized Map<String, Entry> changesSince(long after, long waitMs) throws InterruptedException {
+        long deadlineNs = System.nanoTime() + waitMs * 1_000_000;
+        for (long remainingMs = waitMs;
+                version <= after && remainingMs > 0;
+                remainingMs = (deadlineNs - System.nanoTime()) / 1_000_000) {
+            wait(remainingMs);
         }
         return entries.values().stream()
-                .filter(e -> e.version() > from)
+                .filter(e -> e.version() > after)
                 .collect(Collectors.toMap(Entry::id, e -> e, (a, b) -> b, LinkedHashMap::new));
     }
 }
--- a/src/soak/java/copperbeam/soak/History.java
+++ b/src/soak/java/copperbeam/soak/History.java
@@ -9,8 +9,8 @@
 final class History {
     private final Queue<Observation> observations = new ConcurrentLinkedQueue<>();
 
-    void add(Observation seen) {
-        observations.add(seen);
+    void add(Observation observation) {
+        observations.add(observation);
     }
 
     /** The observations in the order of their times. */
--- a/src/soak/java/copperbeam/soak/HttpConnection.java
+++ b/src/soak/java/copperbeam/soak/HttpConnection.java
@@ -13,10 +13,10 @@
 /** One end of an HTTP/1.1 connection, with blocking calls. */
 final class HttpConnection implements AutoCloseable {
     /** A request or response; {@code complete}: received up to its Content-Length or its last chunk. */
-    record Message(String start, Map<String, String> headers, String body, boolean whole) {
+    record Message(String startLine, Map<String, String> headers, String body, boolean complete) {
         /** A word of the first line, counted from 0. */
         String word(int number) {
-            return start.split(" ")[number];
+            return startLine.split(" ")[number];
         }
 
         String header(String name) {
@@ -33,13 +33,13 @@
         in = new BufferedInputStream(socket.getInputStream());
     }
 
-    static HttpConnection to(InetSocketAddress address, int timeoutMs) throws IOException {
+    static HttpConnection connect(InetSocketAddress address, int timeoutMs) throws IOException {
         Socket socket = new Socket();
         socket.connect(address, timeoutMs);
         return new HttpConnection(socket);
     }
 
-    void timeout(int ms) throws IOException {
+    void setReadTimeout(int ms) throws IOException {
         socket.setSoTimeout(ms);
     }
 
@@ -47,11 +47,11 @@
         socket.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
     }
 
-    void answer(int status, String headers, String body) throws IOException {
+    void sendAnswer(int status, String headers, String body) throws IOException {
         send("HTTP/1.1 " + status + " x\r\n" + headers + "Content-Length: " + body.length() + "\r\n\r\n" + body);
     }
 
-    void chunk(String data) throws IOException {
+    void sendChunk(String data) throws IOException {
         send(Integer.toHexString(data.length()) + "\r\n" + data + "\r\n");
     }
 
@@ -63,7 +63,7 @@
         return next >= 0;
     }
 
-    private String line() throws IOException {
+    private String readLine() throws IOException {
         ByteArrayOutputStream line = new ByteArrayOutputStream();
         for (int b = in.read(); b != '\n'; b = in.read()) {
             if (b < 0) {
@@ -76,12 +76,12 @@
 
     /** Reads a message; returns null if the connection ends before its headers are complete. */
     Message read() throws IOException {
-        String start = line();
-        if (start == null || start.isEmpty()) {
+        String startLine = readLine();
+        if (startLine == null || startLine.isEmpty()) {
             return null;
         }
         Map<String, String> headers = new TreeMap<>(String.CASE_INSENSITIVE_ORDER);
-        for (String line = line(); line == null || !line.isEmpty(); line = line()) {
+        for (String line = readLine(); line == null || !line.isEmpty(); line = readLine()) {
             if (line == null) {
                 return null; // the connection ended within the headers
             }
@@ -89,10 +89,10 @@
             headers.put(line.substring(0, colon), line.substring(colon + 1).strip());
         }
         ByteArrayOutputStream body = new ByteArrayOutputStream();
-        boolean whole = "chunked".equals(headers.get("Transfer-Encoding"))
+        boolean complete = "chunked".equals(headers.get("Transfer-Encoding"))
                 ? readChunks(body)
                 : readLength(body, Integer.parseInt(headers.getOrDefault("Content-Length", "0")));
-        return new Message(start, headers, body.toString(StandardCharsets.UTF_8), whole);
+        return new Message(startLine, headers, body.toString(StandardCharsets.UTF_8), complete);
     }
 
     private boolean readLength(ByteArrayOutputStream body, int length) throws IOException {
@@ -104,12 +104,12 @@
     /** Reads a chunked body; returns whether it is complete. A reset counts as the end of the stream; the bytes before it are kept. */
     private boolean readChunks(ByteArrayOutputStream body) throws IOException {
         try {
-            for (String size = line(); size != null; size = line()) {
+            for (String size = readLine(); size != null; size = readLine()) {
                 int length = Integer.parseInt(size, 16);
                 if (length == 0) {
-                    return line() != null;
+                    return readLine() != null;
                 }
-                if (!readLength(body, length) || line() == null) {
+                if (!readLength(body, length) || readLine() == null) {
                     return false;
                 }
             }
--- a/src/soak/java/copperbeam/soak/Lateness.java
+++ b/src/soak/java/copperbeam/soak/Lateness.java
@@ -13,26 +13,26 @@
  * the delay, as it is woken on whichever processor is free.
  */
 final class Lateness implements AutoCloseable {
-    private static final int PAIRS = 4;
-    private static final int CALLERS = 2; // threads that measure on new connections
+    private static final int THREAD_PAIRS = 4;
+    private static final int CONNECTING_THREADS = 2; // threads that measure on new connections
     private static final long INTERVAL_MS = 5;
     private static final long NANOS_PER_MS = 1_000_000;
 
-    private final AtomicLong worstNanos = new AtomicLong();
-    private volatile boolean over;
+    private final AtomicLong worstNs = new AtomicLong();
+    private volatile boolean closed;
 
     private Lateness() {}
 
     /** Starts to measure; {@link #close} ends it. */
     static Lateness start() throws IOException {
         Lateness lateness = new Lateness();
-        for (int i = 0; i < PAIRS; i++) {
+        for (int i = 0; i < THREAD_PAIRS; i++) {
             lateness.startPair();
         }
         ServerSocket listener = new ServerSocket(0, FaultProxy.BACKLOG, InetAddress.getLoopbackAddress());
         Daemon.start("lateness", () -> acceptAll(listener));
-        for (int i = 0; i < CALLERS; i++) {
-            Daemon.start("lateness", () -> lateness.callAnew(listener));
+        for (int i = 0; i < CONNECTING_THREADS; i++) {
+            Daemon.start("lateness", () -> lateness.measureOnNewConnections(listener));
         }
         return lateness;
     }
@@ -44,14 +44,15 @@
         }
     }
 
-    private void callAnew(ServerSocket listener) throws IOException, InterruptedException {
+    private void measureOnNewConnections(ServerSocket listener) throws IOException, InterruptedException {
         try (listener) {
-            while (!over) {
-                long began = System.nanoTime();
+            while (!closed) {
+                long startNs = System.nanoTime();
                 Thread.sleep(INTERVAL_MS);
                 try (Socket socket = new Socket(listener.getInetAddress(), listener.getLocalPort())) {
-                    socket.setSoLinger(true, 0); // close by a reset: connections in TIME_WAIT would use up the machine's ports
-                    roundTrip(socket, began);
+                    socket.setSoLinger(
+                            true, 0); // close by a reset: connections in TIME_WAIT would use up the machine's ports
+                    roundTrip(socket, startNs);
                 }
             }
         }
@@ -59,12 +60,12 @@
 
     private void startPair() throws IOException {
         try (ServerSocket listener = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            Socket near = new Socket(listener.getInetAddress(), listener.getLocalPort());
-            Socket far = listener.accept();
-            near.setTcpNoDelay(true);
-            far.setTcpNoDelay(true);
-            Daemon.start("echo", () -> echo(far));
-            Daemon.start("lateness", () -> measure(near));
+            Socket measuringSide = new Socket(listener.getInetAddress(), listener.getLocalPort());
+            Socket echoSide = listener.accept();
+            measuringSide.setTcpNoDelay(true);
+            echoSide.setTcpNoDelay(true);
+            Daemon.start("echo", () -> echo(echoSide));
+            Daemon.start("lateness", () -> measure(measuringSide));
         }
     }
 
@@ -80,28 +81,28 @@
 
     private void measure(Socket socket) throws IOException, InterruptedException {
         try (socket) {
-            while (!over) {
-                long began = System.nanoTime();
+            while (!closed) {
+                long startNs = System.nanoTime();
                 Thread.sleep(INTERVAL_MS);
-                roundTrip(socket, began);
+                roundTrip(socket, startNs);
             }
         }
     }
 
-    private void roundTrip(Socket socket, long began) throws IOException {
+    private void roundTrip(Socket socket, long startNs) throws IOException {
         socket.getOutputStream().write(1);
         socket.getInputStream().read();
-        long late = System.nanoTime() - began - INTERVAL_MS * NANOS_PER_MS;
-        worstNanos.accumulateAndGet(late, Math::max);
+        long delayNs = System.nanoTime() - startNs - INTERVAL_MS * NANOS_PER_MS;
+        worstNs.accumulateAndGet(delayNs, Math::max);
     }
 
     /** The longest delay so far, in whole milliseconds. */
     long worstMs() {
-        return worstNanos.get() / NANOS_PER_MS;
+        return worstNs.get() / NANOS_PER_MS;
     }
 
     @Override
     public void close() {
-        over = true;
+        closed = true;
     }
 }
--- a/src/soak/java/copperbeam/soak/Observation.java
+++ b/src/soak/java/copperbeam/soak/Observation.java
@@ -1,6 +1,6 @@
 package copperbeam.soak;
 
-/** An event that one party of the run observed; {@code at} is its time by {@link System#nanoTime}. */
+/** An event that one party of the run observed; {@code at} is its time by {@link FakeSocket#nanoTime}. */
 sealed interface Observation {
     long at();
 
@@ -11,10 +11,10 @@
     record Sent(long at, String id, RequestKind kind, String conductor, long deadlineMs) implements Observation {}
 
     /** A client has read an answer to its end. {@code complete}: up to its last chunk or its Content-Length. */
-    record Answered(long at, String id, int status, boolean whole, String body) implements Observation {}
+    record Answered(long at, String id, int status, boolean complete, String body) implements Observation {}
 
     /** The conductor closed the connection without an answer; {@code wasRead}: no reset shows that the request was left unread. */
-    record ClosedUnanswered(long at, String id, boolean read) implements Observation {}
+    record ClosedUnanswered(long at, String id, boolean wasRead) implements Observation {}
 
     /** The client gave up: no answer came, long after the deadline. */
     record NeverAnswered(long at, String id) implements Observation {}
@@ -37,16 +37,16 @@
             Role role,
             String conductor,
             long attempt,
-            long toldMs,
+            long announcedMs,
             long sentAt,
-            long carriedSince)
+            long readSince)
             implements Observation {}
 
     /** The attempt is over: the server has finished it, the conductor closed the connection, or the network reset it. */
     record AttemptEnded(long at, String id, long attempt, AttemptEnd end) implements Observation {}
 
     /** What a writer streamed in an attempt, up to its end or to where it broke off. */
-    record Streamed(long at, String id, long attempt, boolean whole, String body) implements Observation {}
+    record Streamed(long at, String id, long attempt, boolean complete, String body) implements Observation {}
 
     /** A reader holds the read state of a request from now on. */
     record StateHeld(long at, String id, String server) implements Observation {}
@@ -55,7 +55,7 @@
     record StateFreed(long at, String id) implements Observation {}
 
     /** Discovery announced to a conductor that a server drains or has left. */
-    record DrainTold(long at, String conductor, String server) implements Observation {}
+    record DrainAnnounced(long at, String conductor, String server) implements Observation {}
 
     /** A server that was draining serves again, or has restarted, under the same id. */
     record DrainEnded(long at, String server) implements Observation {}
@@ -70,7 +70,7 @@
     record Killed(long at, String conductor) implements Observation {}
 
     /** A conductor process exited without being killed; {@code requested}: after SIGTERM. */
-    record Exited(long at, String conductor, int code, boolean asked, long sinceTermMs) implements Observation {}
+    record Exited(long at, String conductor, int code, boolean requested, long sinceTermMs) implements Observation {}
 
     /** A conductor process had not exited by the time the platform kills it after SIGTERM. */
     record Overstayed(long at, String conductor) implements Observation {}
--- a/src/soak/java/copperbeam/soak/ProxiedConnection.java
+++ b/src/soak/java/copperbeam/soak/ProxiedConnection.java
@@ -17,35 +17,35 @@
  * drops it, so that the conductor's close or reset is noticed when it happens and not behind delayed bytes.
  */
 final class ProxiedConnection {
-    private static final Map<SocketAddress, ProxiedConnection> BY_SERVER_END = new ConcurrentHashMap<>();
-    private static final int LOOK_MS = 5;
-    private static final int BUFFER = 16 * 1024;
-    private static final byte[] END = {}; // queued after the last bytes
+    private static final Map<SocketAddress, ProxiedConnection> BY_SERVER_SIDE_ADDRESS = new ConcurrentHashMap<>();
+    private static final int POLL_MS = 5;
+    private static final int BUFFER_BYTES = 16 * 1024;
+    private static final byte[] END_OF_QUEUE = {}; // queued after the last bytes
 
     final String conductor;
     private final FaultProxy network;
-    private final Socket near;
-    private final Socket far;
+    private final Socket conductorSide;
+    private final Socket serverSide;
     // bytes from the conductor that have not been forwarded yet
-    private final BlockingQueue<byte[]> underWay = new LinkedBlockingQueue<>();
+    private final BlockingQueue<byte[]> pendingToServer = new LinkedBlockingQueue<>();
     private volatile long closedAt = Long.MAX_VALUE;
-    private volatile boolean reset; // the conductor has reset the connection
-    private volatile boolean dead; // carries nothing any more, and neither end gets an error
-    private volatile boolean endedByNetwork; // the network or the server ended it before the conductor did
+    private volatile boolean resetByConductor; // the conductor has reset the connection
+    private volatile boolean fellSilent; // carries nothing any more, and neither end gets an error
+    private volatile boolean endedByNetworkOrServer; // the network or the server ended it before the conductor did
     private volatile long resetAt = Long.MAX_VALUE; // when the simulated network reset it at both ends
     private volatile long readAt;
-    private volatile long carriedSince;
+    private volatile long readSince;
 
-    ProxiedConnection(String conductor, FaultProxy network, Socket near) {
+    ProxiedConnection(String conductor, FaultProxy network, Socket conductorSide) {
         this.conductor = conductor;
         this.network = network;
-        this.near = near;
-        far = new Socket();
+        this.conductorSide = conductorSide;
+        serverSide = new Socket();
     }
 
     /** The connection that a server has accepted from this remote address. */
     static ProxiedConnection from(SocketAddress address) {
-        return BY_SERVER_END.get(address);
+        return BY_SERVER_SIDE_ADDRESS.get(address);
     }
 
     /** When the conductor closed its end or the network reset the connection; {@code Long.MAX_VALUE} while neither has happened. */
@@ -62,139 +62,141 @@
      * From when on the proxy has read what the conductor sends; later than the conductor's connect if the connection to the server
      * took long.
      */
-    long carriedSince() {
-        return carriedSince;
+    long readSince() {
+        return readSince;
     }
 
     /** Waits while the network holds back what the server has written, unless the connection ends. */
     void awaitDelivery() throws InterruptedException {
-        awaitPassage(() -> endedAt() != Long.MAX_VALUE);
+        awaitForwarding(() -> endedAt() != Long.MAX_VALUE);
     }
 
     /** Stops forwarding without an error to either end, as when a NAT or firewall drops its entry; new connections still work. */
     void fallSilent() {
-        dead = true;
+        fellSilent = true;
     }
 
     /** Whether the conductor or the network has reset the connection. */
     boolean wasReset() {
-        return reset || resetAt != Long.MAX_VALUE;
+        return resetByConductor || resetAt != Long.MAX_VALUE;
     }
 
     /** Whether the conductor closed the connection while the network still carried it. */
-    boolean givenUp() {
-        return !dead && closedAt < resetAt;
+    boolean wasGivenUp() {
+        return !fellSilent && closedAt < resetAt;
     }
 
-    private boolean silent() {
-        return dead || network.silent();
+    private boolean isSilent() {
+        return fellSilent || network.isSilent();
     }
 
     /** Waits while the network is silent, unless {@code cancelled} becomes true; returns whether bytes may be forwarded. */
-    private boolean awaitPassage(BooleanSupplier pointless) throws InterruptedException {
-        if (!silent()) {
+    private boolean awaitForwarding(BooleanSupplier cancelled) throws InterruptedException {
+        if (!isSilent()) {
             return true;
         }
-        while (silent() && !pointless.getAsBoolean()) {
-            Thread.sleep(LOOK_MS);
+        while (isSilent() && !cancelled.getAsBoolean()) {
+            Thread.sleep(POLL_MS);
         }
-        return !pointless.getAsBoolean();
+        return !cancelled.getAsBoolean();
     }
 
     /** Whether the conductor has ended the connection in a way that loses the bytes not yet forwarded. */
-    private boolean abandoned() {
-        return reset || dead && closedAt != Long.MAX_VALUE;
+    private boolean isAbandoned() {
+        return resetByConductor || fellSilent && closedAt != Long.MAX_VALUE;
     }
 
     /** Connects to the server and forwards bytes both ways until an end closes. */
-    void carry(InetSocketAddress server) throws IOException, InterruptedException {
-        near.setTcpNoDelay(true);
+    void connectAndForward(InetSocketAddress server) throws IOException, InterruptedException {
+        conductorSide.setTcpNoDelay(true);
         try {
-            far.bind(new InetSocketAddress(network.host(), 0));
-            BY_SERVER_END.put(far.getLocalSocketAddress(), this);
-            far.connect(server);
-            far.setTcpNoDelay(true);
+            serverSide.bind(new InetSocketAddress(network.host(), 0));
+            BY_SERVER_SIDE_ADDRESS.put(serverSide.getLocalSocketAddress(), this);
+            serverSide.connect(server);
+            serverSide.setTcpNoDelay(true);
         } catch (IOException e) {
-            end(true);
+            closeBoth(true);
             return;
         }
         Daemon.start("from server", this::deliverToConductor);
         Thread delivery = Daemon.start("to server", this::deliverToServer);
-        receive(delivery);
+        receiveFromConductor(delivery);
     }
 
-    private void receive(Thread delivery) throws InterruptedException {
-        byte[] bytes = new byte[BUFFER];
-        carriedSince = System.nanoTime();
+    private void receiveFromConductor(Thread delivery) throws InterruptedException {
+        byte[] bytes = new byte[BUFFER_BYTES];
+        readSince = System.nanoTime();
         try {
-            InputStream in = near.getInputStream();
+            InputStream in = conductorSide.getInputStream();
             for (int count = in.read(bytes); count >= 0; count = in.read(bytes)) {
                 readAt = System.nanoTime();
-                underWay.add(Arrays.copyOf(bytes, count));
+                pendingToServer.add(Arrays.copyOf(bytes, count));
             }
-            closedByConductor();
+            noteCloseByConductor();
         } catch (IOException e) {
-            closedByConductor();
-            reset = true;
+            noteCloseByConductor();
+            resetByConductor = true;
         }
-        underWay.add(END);
-        if (abandoned()) {
-            delivery.join(LOOK_MS); // forwards what was sent before, unless the server doesn't read
-            end(true);
+        pendingToServer.add(END_OF_QUEUE);
+        if (isAbandoned()) {
+            delivery.join(POLL_MS); // forwards what was sent before, unless the server doesn't read
+            closeBoth(true);
         }
     }
 
-    private void closedByConductor() {
-        if (!endedByNetwork) {
+    private void noteCloseByConductor() {
+        if (!endedByNetworkOrServer) {
             closedAt = Math.min(closedAt, System.nanoTime());
         }
     }
 
     private void deliverToServer() throws InterruptedException {
         try {
-            boolean passes = true;
-            for (byte[] next = underWay.take(); next != END && passes; next = underWay.take()) {
-                passes = awaitPassage(this::abandoned);
-                if (passes) {
-                    network.write(far, network.changed(next));
+            boolean mayForward = true;
+            for (byte[] next = pendingToServer.take();
+                    next != END_OF_QUEUE && mayForward;
+                    next = pendingToServer.take()) {
+                mayForward = awaitForwarding(this::isAbandoned);
+                if (mayForward) {
+                    network.write(serverSide, network.applyChange(next));
                 }
             }
-            if (passes && awaitPassage(this::abandoned) && !reset) {
-                far.shutdownOutput();
+            if (mayForward && awaitForwarding(this::isAbandoned) && !resetByConductor) {
+                serverSide.shutdownOutput();
             }
         } catch (IOException e) {
-            end(true);
+            closeBoth(true);
         }
     }
 
     private void deliverToConductor() throws InterruptedException {
-        byte[] bytes = new byte[BUFFER];
-        boolean clean = false;
+        byte[] bytes = new byte[BUFFER_BYTES];
+        boolean closedCleanly = false;
         try {
-            InputStream in = far.getInputStream();
+            InputStream in = serverSide.getInputStream();
             for (int count = in.read(bytes); count >= 0; count = in.read(bytes)) {
-                awaitPassage(this::abandoned);
-                network.write(near, Arrays.copyOf(bytes, count));
+                awaitForwarding(this::isAbandoned);
+                network.write(conductorSide, Arrays.copyOf(bytes, count));
             }
-            clean = true;
+            closedCleanly = true;
         } catch (IOException e) {
-            clean = false;
+            closedCleanly = false;
         }
-        awaitPassage(this::abandoned);
-        endedByNetwork |= closedAt == Long.MAX_VALUE; // the server ended the connection first
-        end(!clean);
+        awaitForwarding(this::isAbandoned);
+        endedByNetworkOrServer |= closedAt == Long.MAX_VALUE; // the server ended the connection first
+        closeBoth(!closedCleanly);
     }
 
     /** Resets the connection at both ends, as the network may. */
     void resetByNetwork() {
-        endedByNetwork = true;
+        endedByNetworkOrServer = true;
         resetAt = System.nanoTime();
-        end(true);
+        closeBoth(true);
     }
 
-    private void end(boolean abort) {
-        network.ended(this);
-        for (Socket socket : new Socket[] {near, far}) {
+    private void closeBoth(boolean abort) {
+        network.remove(this);
+        for (Socket socket : new Socket[] {conductorSide, serverSide}) {
             try {
                 if (abort) {
                     socket.setSoLinger(true, 0);
--- a/src/soak/java/copperbeam/soak/ReachLog.java
+++ b/src/soak/java/copperbeam/soak/ReachLog.java
@@ -16,13 +16,13 @@
     }
 
     /** Notes what has changed; to be called after each change of the network or the server list. */
-    synchronized void look() {
+    synchronized void update() {
         for (ConductorProcess conductor : site.conductors) {
-            boolean cut = site.listed().stream()
-                    .allMatch(server -> site.proxy(conductor, server.id).silent());
-            boolean changed = cut ? cutOff.add(conductor.name) : cutOff.remove(conductor.name);
+            boolean unreachable = site.activeServers().stream()
+                    .allMatch(server -> site.proxy(conductor, server.id).isSilent());
+            boolean changed = unreachable ? cutOff.add(conductor.name) : cutOff.remove(conductor.name);
             if (changed) {
-                site.history.add(new Observation.CutOffFromAll(System.nanoTime(), conductor.name, cut));
+                site.history.add(new Observation.CutOffFromAll(System.nanoTime(), conductor.name, unreachable));
             }
         }
     }
--- a/src/soak/java/copperbeam/soak/ServerStandIn.java
+++ b/src/soak/java/copperbeam/soak/ServerStandIn.java
@@ -17,38 +17,39 @@
  */
 final class ServerStandIn implements AutoCloseable {
     /** How the server treats requests. */
-    enum Mood {
-        WELL,
+    enum Behavior {
+        HEALTHY,
         SLOW,
         /** Reads requests and never answers. */
         HANGS,
         /** Accepts connections and reads nothing. */
-        DEAF,
-        TURNS_AWAY,
+        READS_NOTHING,
+        REFUSES,
         FAILS,
         RESETS,
         BREAKS_STREAMS,
         GARBLES
     }
 
-    private static final int LOOK_MS = 4;
+    private static final int POLL_MS = 4;
     private static final int HANG_MS = 8000;
-    private static final AtomicLong ATTEMPTS = new AtomicLong();
+    private static final AtomicLong ATTEMPT_COUNTER = new AtomicLong();
 
     final String id;
     final Role role;
     private final History history;
     // by request: the id of the reader that holds its read state; shared by all servers of the run
-    private final Map<String, String> states;
+    private final Map<String, String> stateHolders;
     private final Random random;
     private final ServerSocket listener;
-    volatile Mood mood = Mood.WELL;
+    volatile Behavior behavior = Behavior.HEALTHY;
 
-    ServerStandIn(String id, Role role, History history, Map<String, String> states, long seed) throws IOException {
+    ServerStandIn(String id, Role role, History history, Map<String, String> stateHolders, long seed)
+            throws IOException {
         this.id = id;
         this.role = role;
         this.history = history;
-        this.states = states;
+        this.stateHolders = stateHolders;
         random = new Random(seed);
         listener = new ServerSocket(0, 256, InetAddress.getLoopbackAddress());
         Daemon.start(id, this::accept);
@@ -75,102 +76,102 @@
         try (HttpConnection connection = new HttpConnection(socket)) {
             ProxiedConnection link = ProxiedConnection.from(socket.getRemoteSocketAddress());
             while (connection.awaitByte()) {
-                long opened = System.nanoTime();
-                while (mood == Mood.DEAF) {
-                    Thread.sleep(LOOK_MS);
+                long firstByteAt = System.nanoTime();
+                while (behavior == Behavior.READS_NOTHING) {
+                    Thread.sleep(POLL_MS);
                 }
                 if (link.wasReset()) {
                     return; // reset while the server read nothing; the part of a request that it has doesn't count
                 }
                 Message request = connection.read();
-                if (request == null || !request.whole()) {
+                if (request == null || !request.complete()) {
                     return;
                 }
-                if (!answer(connection, link, request, opened)) {
+                if (!handleRequest(connection, link, request, firstByteAt)) {
                     return;
                 }
             }
         }
     }
 
-    private boolean answer(HttpConnection connection, ProxiedConnection link, Message request, long opened)
+    private boolean handleRequest(HttpConnection connection, ProxiedConnection link, Message request, long firstByteAt)
             throws IOException, InterruptedException {
         switch (request.word(0)) {
             case "DELETE":
-                free(request.word(1).substring("/state/".length()));
-                connection.answer(204, "", "");
+                freeState(request.word(1).substring("/state/".length()));
+                connection.sendAnswer(204, "", "");
                 return true;
             case "GET":
-                connection.answer(200, "", "inflight=1,queue=0,util=0.2");
+                connection.sendAnswer(200, "", "inflight=1,queue=0,util=0.2");
                 return true;
             default:
-                return attempt(connection, link, request, opened);
+                return handleAttempt(connection, link, request, firstByteAt);
         }
     }
 
-    private void free(String request) {
-        if (states.remove(request) != null) {
+    private void freeState(String request) {
+        if (stateHolders.remove(request) != null) {
             history.add(new Observation.StateFreed(System.nanoTime(), request));
         }
     }
 
     /** Drops all read states, as a restart does. */
     void forgetStates() {
-        states.forEach((request, holder) -> {
+        stateHolders.forEach((request, holder) -> {
             if (holder.equals(id)) {
-                free(request);
+                freeState(request);
             }
         });
     }
 
-    private void hold(String request, long at) {
-        states.put(request, id);
+    private void holdState(String request, long at) {
+        stateHolders.put(request, id);
         history.add(new Observation.StateHeld(at, request, id));
     }
 
     /** Serves or fails one attempt; returns whether the connection may carry another request. */
-    private boolean attempt(HttpConnection connection, ProxiedConnection link, Message request, long opened)
+    private boolean handleAttempt(HttpConnection connection, ProxiedConnection link, Message request, long firstByteAt)
             throws IOException, InterruptedException {
-        String name = request.header("X-Request-ID");
-        long attempt = ATTEMPTS.incrementAndGet();
-        String told = request.header("X-Timeout");
-        history.add(new Observation.AttemptOpened(opened, name, id, link.conductor));
-        long arrived = System.nanoTime();
+        String requestId = request.header("X-Request-ID");
+        long attempt = ATTEMPT_COUNTER.incrementAndGet();
+        String announced = request.header("X-Timeout");
+        history.add(new Observation.AttemptOpened(firstByteAt, requestId, id, link.conductor));
+        long arrivedAt = System.nanoTime();
         history.add(new Observation.AttemptArrived(
-                arrived,
-                name,
+                arrivedAt,
+                requestId,
                 id,
                 role,
                 link.conductor,
                 attempt,
-                told == null ? 0 : Long.parseLong(told.replace("m", "")),
+                announced == null ? 0 : Long.parseLong(announced.replace("m", "")),
                 link.readAt(),
-                link.carriedSince()));
+                link.readSince()));
         AttemptEnd end = AttemptEnd.FAILED;
         try {
-            end = carryOut(connection, link, name, attempt);
+            end = respond(connection, link, requestId, attempt);
             link.awaitDelivery(); // the conductor can't see the end of the attempt before
         } finally {
             if (end != AttemptEnd.TURNED_AWAY && end != AttemptEnd.SERVED) {
                 // FAILED also if the network ended the connection
-                end = link.givenUp() ? AttemptEnd.GIVEN_UP : AttemptEnd.FAILED;
+                end = link.wasGivenUp() ? AttemptEnd.GIVEN_UP : AttemptEnd.FAILED;
             }
             history.add(new Observation.AttemptEnded(
-                    Math.max(arrived + 1, Math.min(link.endedAt(), System.nanoTime())), name, attempt, end));
+                    Math.max(arrivedAt + 1, Math.min(link.endedAt(), System.nanoTime())), requestId, attempt, end));
         }
         return end == AttemptEnd.SERVED || end == AttemptEnd.TURNED_AWAY;
     }
 
-    private AttemptEnd carryOut(HttpConnection connection, ProxiedConnection link, String name, long attempt)
+    private AttemptEnd respond(HttpConnection connection, ProxiedConnection link, String requestId, long attempt)
             throws IOException, InterruptedException {
-        Mood now = draw(3) == 0 ? Mood.WELL : mood;
-        switch (now) {
-            case TURNS_AWAY:
-                connection.answer(503, "X-Not-Processed: 1\r\n", "");
+        Behavior behaviorNow = draw(3) == 0 ? Behavior.HEALTHY : behavior;
+        switch (behaviorNow) {
+            case REFUSES:
+                connection.sendAnswer(503, "X-Not-Processed: 1\r\n", "");
                 return AttemptEnd.TURNED_AWAY;
             case FAILS:
                 pause(link, draw(30));
-                connection.answer(500, "", "");
+                connection.sendAnswer(500, "", "");
                 return AttemptEnd.FAILED;
             case RESETS:
                 pause(link, draw(60));
@@ -186,73 +187,75 @@
                 return AttemptEnd.FAILED;
             default:
                 return role == Role.READER
-                        ? read(connection, link, name, now)
-                        : write(connection, link, name, attempt, now);
+                        ? readPrompt(connection, link, requestId, behaviorNow)
+                        : streamAnswer(connection, link, requestId, attempt, behaviorNow);
         }
     }
 
     /** Waits, but not beyond the end of the connection; returns whether the connection still exists. */
     private static boolean pause(ProxiedConnection link, long ms) throws InterruptedException {
-        long until = System.nanoTime() + ms * 1_000_000;
-        while (System.nanoTime() < until && link.endedAt() == Long.MAX_VALUE) {
-            Thread.sleep(Math.max(1, Math.min(LOOK_MS, (until - System.nanoTime()) / 1_000_000)));
+        long deadlineNs = System.nanoTime() + ms * 1_000_000;
+        while (System.nanoTime() < deadlineNs && link.endedAt() == Long.MAX_VALUE) {
+            Thread.sleep(Math.max(1, Math.min(POLL_MS, (deadlineNs - System.nanoTime()) / 1_000_000)));
         }
         return link.endedAt() == Long.MAX_VALUE;
     }
 
-    private AttemptEnd read(HttpConnection connection, ProxiedConnection link, String name, Mood now)
+    private AttemptEnd readPrompt(
+            HttpConnection connection, ProxiedConnection link, String requestId, Behavior behaviorNow)
             throws IOException, InterruptedException {
-        boolean waited = pause(link, now == Mood.SLOW ? 400 + draw(800) : 3 + draw(25));
-        if (!waited && draw(2) == 0) {
+        boolean connected = pause(link, behaviorNow == Behavior.SLOW ? 400 + draw(800) : 3 + draw(25));
+        if (!connected && draw(2) == 0) {
             return AttemptEnd.GIVEN_UP;
         }
-        hold(name, System.nanoTime()); // a read may complete although the conductor has given it up
-        connection.answer(202, "", "{\"cached_tokens\":0}");
-        return waited ? AttemptEnd.SERVED : AttemptEnd.GIVEN_UP;
+        holdState(requestId, System.nanoTime()); // a read may complete although the conductor has given it up
+        connection.sendAnswer(202, "", "{\"cached_tokens\":0}");
+        return connected ? AttemptEnd.SERVED : AttemptEnd.GIVEN_UP;
     }
 
-    private AttemptEnd write(HttpConnection connection, ProxiedConnection link, String name, long attempt, Mood now)
+    private AttemptEnd streamAnswer(
+            HttpConnection connection, ProxiedConnection link, String requestId, long attempt, Behavior behaviorNow)
             throws IOException, InterruptedException {
-        if (!states.containsKey(name)) {
-            connection.answer(410, "X-Not-Processed: 1\r\n", "");
+        if (!stateHolders.containsKey(requestId)) {
+            connection.sendAnswer(410, "X-Not-Processed: 1\r\n", "");
             return AttemptEnd.TURNED_AWAY;
         }
-        free(name);
-        StringBuilder made = new StringBuilder();
-        boolean whole = false;
+        freeState(requestId);
+        StringBuilder streamed = new StringBuilder();
+        boolean complete = false;
         try {
-            if (!pause(link, now == Mood.SLOW ? 300 + draw(900) : 2 + draw(20))) {
+            if (!pause(link, behaviorNow == Behavior.SLOW ? 300 + draw(900) : 2 + draw(20))) {
                 return AttemptEnd.GIVEN_UP;
             }
             int events = 2 + draw(6);
-            int broken = now == Mood.BREAKS_STREAMS ? draw(events) : events;
-            for (int event = 0; event < broken; event++) {
-                String text =
-                        "data: {\"request\":\"" + name + "\",\"attempt\":" + attempt + ",\"event\":" + event + "}\n\n";
-                made.append(text);
+            int eventsToSend = behaviorNow == Behavior.BREAKS_STREAMS ? draw(events) : events;
+            for (int event = 0; event < eventsToSend; event++) {
+                String text = "data: {\"request\":\"" + requestId + "\",\"attempt\":" + attempt + ",\"event\":" + event
+                        + "}\n\n";
+                streamed.append(text);
                 if (event == 0) {
                     connection.send(
                             "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n");
                 }
-                connection.chunk(text);
-                if (!pause(link, now == Mood.SLOW ? draw(300) : draw(25))) {
+                connection.sendChunk(text);
+                if (!pause(link, behaviorNow == Behavior.SLOW ? draw(300) : draw(25))) {
                     return AttemptEnd.GIVEN_UP;
                 }
             }
-            if (broken < events) {
+            if (eventsToSend < events) {
                 connection.reset();
                 return AttemptEnd.FAILED;
             }
-            whole = true;
+            complete = true;
             connection.send("0\r\n\r\n");
             return AttemptEnd.SERVED;
         } finally {
-            history.add(new Observation.Streamed(System.nanoTime(), name, attempt, whole, made.toString()));
+            history.add(new Observation.Streamed(System.nanoTime(), requestId, attempt, complete, streamed.toString()));
         }
     }
 
     /** A new map from a request to the reader that holds its read state, shared by all servers of a run. */
-    static Map<String, String> states() {
+    static Map<String, String> newStateHolders() {
         return new ConcurrentHashMap<>();
     }
 
--- a/src/soak/java/copperbeam/soak/SlowStartJudge.java
+++ b/src/soak/java/copperbeam/soak/SlowStartJudge.java
@@ -21,11 +21,11 @@
  * warm server is assumed to be the highest request rate in any window, divided by the number of servers of its role.
  */
 final class SlowStartJudge {
-    private static final double NS = 1e9;
+    private static final double NANOS_PER_S = 1e9;
     // below so many requests in a window the bound has a larger margin for chance
-    private static final double FEW = 30;
-    private static final int ENOUGH = 12; // requests of a class from which on its share is significant
-    private static final double LEAST_SHARE = 0.5; // of the best-served class's share
+    private static final double FEW_REQUESTS = 30;
+    private static final int MIN_REQUESTS = 12; // requests of a class from which on its share is significant
+    private static final double MIN_RELATIVE_SHARE = 0.5; // of the best-served class's share
 
     /** How many requests of a class were sent and how many of them were served. */
     private static final class Share {
@@ -42,15 +42,15 @@
         }
     }
 
-    private record Call(long at, double weight) {}
+    private record Call(long at, double relativeCost) {}
 
     private final Oracle.Terms terms;
     private final Oracle.SlowStart rules;
     private final Map<String, Sent> requests = new HashMap<>();
-    private final Map<String, Observation> ends =
+    private final Map<String, Observation> firstEnds =
             new HashMap<>(); // by request: the answer or the client's departure, whichever came first
     private final Map<String, ServerStarted> starts = new HashMap<>();
-    private final Map<String, Deque<Call>> calls = new HashMap<>(); // attempts within the last window, by server
+    private final Map<String, Deque<Call>> recentCalls = new HashMap<>(); // attempts within the last window, by server
     private final List<AttemptArrived> arrivals = new ArrayList<>();
     private final List<Violation> violations = new ArrayList<>();
 
@@ -60,7 +60,7 @@
     }
 
     List<Violation> judge(List<Observation> inOrder) {
-        inOrder.forEach(this::take);
+        inOrder.forEach(this::observe);
         arrivals.forEach(this::judgeArrival);
         starts.values().stream()
                 .min(Comparator.comparingLong(ServerStarted::at))
@@ -68,43 +68,44 @@
         return violations;
     }
 
-    private void take(Observation seen) {
-        if (seen instanceof Sent o) {
+    private void observe(Observation observation) {
+        if (observation instanceof Sent o) {
             requests.put(o.id(), o);
-        } else if (seen instanceof Answered o) {
-            ends.putIfAbsent(o.id(), o);
-        } else if (seen instanceof ClientGone o) {
-            ends.putIfAbsent(o.id(), o);
-        } else if (seen instanceof ServerStarted o) {
+        } else if (observation instanceof Answered o) {
+            firstEnds.putIfAbsent(o.id(), o);
+        } else if (observation instanceof ClientGone o) {
+            firstEnds.putIfAbsent(o.id(), o);
+        } else if (observation instanceof ServerStarted o) {
             starts.put(o.server(), o);
-        } else if (seen instanceof AttemptArrived o) {
+        } else if (observation instanceof AttemptArrived o) {
             arrivals.add(o);
         }
     }
 
-    private void judgeArrival(AttemptArrived a) {
-        ServerStarted start = starts.get(a.server());
-        double age = start == null ? -1 : (a.at() - start.at()) / NS;
-        if (age < terms.slackMs() / 1000.0 || age > rules.warmWithinS() || !requests.containsKey(a.id())) {
+    private void judgeArrival(AttemptArrived arrival) {
+        ServerStarted start = starts.get(arrival.server());
+        double ageS = start == null ? -1 : (arrival.at() - start.at()) / NANOS_PER_S;
+        if (ageS < terms.slackMs() / 1000.0 || ageS > rules.warmWithinS() || !requests.containsKey(arrival.id())) {
             return; // warm, or just started and not all conductors know it yet, or sent by no client
         }
-        Deque<Call> window = calls.computeIfAbsent(a.server(), server -> new ArrayDeque<>());
-        window.add(new Call(a.at(), weight(requests.get(a.id()).kind())));
-        while (a.at() - window.peek().at > rules.fallS() * NS) {
+        Deque<Call> window = recentCalls.computeIfAbsent(arrival.server(), server -> new ArrayDeque<>());
+        window.add(
+                new Call(arrival.at(), relativeCost(requests.get(arrival.id()).kind())));
+        while (arrival.at() - window.peek().at > rules.fallS() * NANOS_PER_S) {
             window.poll();
         }
-        double sum = window.stream().mapToDouble(Call::weight).sum();
-        double bound = bound(budget(age, start.role()));
+        double sum = window.stream().mapToDouble(Call::relativeCost).sum();
+        double bound = boundWithMargin(budget(ageS, start.role()));
         if (sum > bound) {
             violations.add(new Violation(
                     Rule.SLOW_START_EXCEEDED,
-                    a.server(),
+                    arrival.server(),
                     String.format(Locale.ROOT, "%.1f requests of mean cost in a window, bound %.1f", sum, bound)));
         }
     }
 
     /** The cost of a request of this kind, in multiples of the mean of all requests. */
-    private double weight(RequestKind kind) {
+    private double relativeCost(RequestKind kind) {
         double mean = requests.values().stream()
                 .mapToInt(sent -> sent.kind().promptTokens(true))
                 .average()
@@ -113,53 +114,58 @@
     }
 
     /** The cost, in mean requests, that may be sent in a window that ends at this age of the server in seconds. */
-    private double budget(double age, Role role) {
-        double peers = starts.values().stream().filter(s -> s.role() == role).count();
-        return rules.fallMultiple() * mostPerS() / peers * (capacity(age) - capacity(age - rules.fallS()));
+    private double budget(double ageS, Role role) {
+        double serversOfRole =
+                starts.values().stream().filter(s -> s.role() == role).count();
+        return rules.fallMultiple()
+                * maxRatePerS()
+                / serversOfRole
+                * (capacityUntil(ageS) - capacityUntil(ageS - rules.fallS()));
     }
 
     /**
      * Guaranteed capacity of a warming server, integrated from its start to this age, in seconds of a warm server. Before the start
      * the integral continues with the capacity at the start.
      */
-    private double capacity(double age) {
-        double warming = Math.max(0, Math.min(age, rules.warmWithinS()));
-        double share = warming / rules.warmWithinS();
-        return rules.coldFrom() * Math.min(age, warming) + (1 - rules.coldFrom()) * warming * share * share / 3;
+    private double capacityUntil(double ageS) {
+        double warmingS = Math.max(0, Math.min(ageS, rules.warmWithinS()));
+        double share = warmingS / rules.warmWithinS();
+        return rules.coldFrom() * Math.min(ageS, warmingS) + (1 - rules.coldFrom()) * warmingS * share * share / 3;
     }
 
-    private static double bound(double budget) {
-        return budget < FEW ? budget + 3 * Math.sqrt(budget) + 3 : budget + 2 * Math.sqrt(budget) + 2;
+    private static double boundWithMargin(double budget) {
+        return budget < FEW_REQUESTS ? budget + 3 * Math.sqrt(budget) + 3 : budget + 2 * Math.sqrt(budget) + 2;
     }
 
-    private double mostPerS() {
+    private double maxRatePerS() {
         List<Long> times = requests.values().stream().map(Sent::at).sorted().toList();
-        int most = 0;
+        int maxCount = 0;
         int first = 0;
         for (int last = 0; last < times.size(); last++) {
-            while (times.get(last) - times.get(first) > rules.fallS() * NS) {
+            while (times.get(last) - times.get(first) > rules.fallS() * NANOS_PER_S) {
                 first++;
             }
-            most = Math.max(most, last - first + 1);
+            maxCount = Math.max(maxCount, last - first + 1);
         }
-        return most / rules.fallS();
+        return maxCount / rules.fallS();
     }
 
     /** Compares the served shares of classes among the requests whose time from sending to deadline lies within the slow start. */
-    private void judgeShares(ServerStarted first) {
-        long warm = first.at() + (long) (rules.warmWithinS() * NS);
+    private void judgeShares(ServerStarted firstStart) {
+        long warmAt = firstStart.at() + (long) (rules.warmWithinS() * NANOS_PER_S);
         Map<RequestKind, Share> shares = new EnumMap<>(RequestKind.class);
         for (Sent sent : requests.values()) {
-            boolean cold = sent.at() >= first.at() && sent.at() + sent.deadlineMs() * 1_000_000 < warm;
-            if (cold && !(ends.get(sent.id()) instanceof ClientGone)) {
+            boolean duringSlowStart =
+                    sent.at() >= firstStart.at() && sent.at() + sent.deadlineMs() * 1_000_000 < warmAt;
+            if (duringSlowStart && !(firstEnds.get(sent.id()) instanceof ClientGone)) {
                 Share share = shares.computeIfAbsent(sent.kind(), kind -> new Share());
                 share.sent++;
-                share.served += ends.get(sent.id()) instanceof Answered a && a.status() == 200 ? 1 : 0;
+                share.served += firstEnds.get(sent.id()) instanceof Answered a && a.status() == 200 ? 1 : 0;
             }
         }
         double best = shares.values().stream().mapToDouble(Share::value).max().orElse(0);
         shares.forEach((kind, share) -> {
-            if (share.sent >= ENOUGH && share.value() < LEAST_SHARE * best) {
+            if (share.sent >= MIN_REQUESTS && share.value() < MIN_RELATIVE_SHARE * best) {
                 violations.add(new Violation(Rule.CLASS_STARVED, kind.requestClass, share + " served: " + shares));
             }
         });
--- a/src/soak/java/copperbeam/soak/SoakSettings.java
+++ b/src/soak/java/copperbeam/soak/SoakSettings.java
@@ -12,21 +12,21 @@
         int conductors,
         long longestDeadlineMs,
         long releaseMs,
-        boolean resume,
+        boolean streamsResume,
         boolean cancel,
         boolean probes,
         boolean uneven) {
-    private static final int MOST_ATTEMPTS = 4;
+    private static final int MAX_ATTEMPTS = 4;
     private static final long KEYED_WINDOW_MS = 1500;
     // request deadlines longer than this don't delay the kill any further
-    private static final long MOST_KILL_DEADLINE_MS = 3000;
-    private static final long KILL_MORE_MS = 700; // from the longest deadline to the kill
+    private static final long MAX_KILL_DEADLINE_MS = 3000;
+    private static final long KILL_MARGIN_MS = 700; // from the longest deadline to the kill
     private static final long[] DEADLINES_MS = {3000, 1500, 900};
-    private static final long[] RELEASES_MS = {1000, 500, 300};
+    private static final long[] RELEASE_TIMES_MS = {1000, 500, 300};
     private static final double WARM_WITHIN_S = 5;
     private static final double UNEVEN_WARM_WITHIN_S = 10; // long enough for a significant share of a rare class
     private static final Oracle.SlowStart SLOW_START = new Oracle.SlowStart(0.28, WARM_WITHIN_S, 3, 2);
-    private static final String TEXT = """
+    private static final String JSON_TEMPLATE = """
             {"balancers":%d,"kinds":["prefill","decode"],
              "services":[{"name":"ask","promise_s":0.8,"give_up_s":%s,"semantics":"safe","worth":3},
                          {"name":"send","promise_s":0.8,"give_up_s":%s,"semantics":"unsafe","worth":3},
@@ -38,42 +38,42 @@
             """;
 
     /** Deadlines of 3 s, 1 s to release a read state; cancellation and probes are on. */
-    static SoakSettings usual(int conductors, boolean resume) {
-        return new SoakSettings(conductors, DEADLINES_MS[0], RELEASES_MS[0], resume, true, true, false);
+    static SoakSettings defaults(int conductors, boolean streamsResume) {
+        return new SoakSettings(conductors, DEADLINES_MS[0], RELEASE_TIMES_MS[0], streamsResume, true, true, false);
     }
 
     /** The default settings, except that one class costs ten times as much as the others and servers warm up for 10 s. */
-    static SoakSettings uneven(int conductors, boolean resume) {
-        return new SoakSettings(conductors, DEADLINES_MS[0], RELEASES_MS[0], resume, true, true, true);
+    static SoakSettings uneven(int conductors, boolean streamsResume) {
+        return new SoakSettings(conductors, DEADLINES_MS[0], RELEASE_TIMES_MS[0], streamsResume, true, true, true);
     }
 
     /**
      * Draws deadline, release time and probes. Half of the runs have the default deadline, half the default release time; the others
      * have shorter ones. A shorter deadline also brings the kill forward.
      */
-    static SoakSettings draw(Random random, int conductors, boolean resume) {
+    static SoakSettings draw(Random random, int conductors, boolean streamsResume) {
         return new SoakSettings(
                 conductors,
                 DEADLINES_MS[Math.max(0, random.nextInt(4) - 1)],
-                RELEASES_MS[Math.max(0, random.nextInt(4) - 1)],
-                resume,
+                RELEASE_TIMES_MS[Math.max(0, random.nextInt(4) - 1)],
+                streamsResume,
                 true,
                 random.nextInt(4) > 0,
                 false);
     }
 
     /** The settings file as the platform writes it. */
-    String text() {
+    String toJson() {
         String deadline = seconds(longestDeadlineMs);
         return String.format(
                 Locale.ROOT,
-                TEXT,
+                JSON_TEMPLATE,
                 conductors,
                 deadline,
                 deadline,
                 deadline,
                 seconds(KEYED_WINDOW_MS),
-                MOST_ATTEMPTS,
+                MAX_ATTEMPTS,
                 cancel,
                 probes,
                 slowStart().coldFrom(),
@@ -81,7 +81,7 @@
                 slowStart().fallMultiple(),
                 slowStart().fallS(),
                 seconds(releaseMs),
-                resume);
+                streamsResume);
     }
 
     private static String seconds(long ms) {
@@ -90,7 +90,7 @@
 
     /** The shortest time from SIGTERM to SIGKILL that the platform grants. */
     long killMs() {
-        return Math.min(longestDeadlineMs, MOST_KILL_DEADLINE_MS) + KILL_MORE_MS;
+        return Math.min(longestDeadlineMs, MAX_KILL_DEADLINE_MS) + KILL_MARGIN_MS;
     }
 
     /** The time after its start in which a server counts as cold. */
@@ -105,8 +105,8 @@
                 : SLOW_START;
     }
 
-    Oracle.Terms terms(long slackMs) {
+    Oracle.Terms oracleTerms(long slackMs) {
         return new Oracle.Terms(
-                MOST_ATTEMPTS, releaseMs, KEYED_WINDOW_MS, resume, slackMs, uneven ? slowStart() : null);
+                MAX_ATTEMPTS, releaseMs, KEYED_WINDOW_MS, streamsResume, slackMs, uneven ? slowStart() : null);
     }
 }
--- a/src/soak/java/copperbeam/soak/SoakSite.java
+++ b/src/soak/java/copperbeam/soak/SoakSite.java
@@ -18,7 +18,7 @@
  * each server.
  */
 final class SoakSite implements AutoCloseable {
-    static final long START_MS = 30_000; // the time the platform grants a process to become ready
+    static final long START_TIMEOUT_MS = 30_000; // the time the platform grants a process to become ready
 
     final History history = new History();
     final Fleet fleet = new Fleet();
@@ -26,37 +26,37 @@
     final Map<String, ServerStandIn> servers = new ConcurrentHashMap<>();
     private final Map<String, FaultProxy> proxies = new ConcurrentHashMap<>(); // by "conductor server"
     private final Map<String, DiscoveryAgent> agents = new ConcurrentHashMap<>(); // by the conductor's name
-    private final Map<String, String> states = ServerStandIn.states();
-    private final List<AutoCloseable> all = new CopyOnWriteArrayList<>();
-    private final AtomicInteger serverNumbers = new AtomicInteger();
+    private final Map<String, String> stateHolders = ServerStandIn.newStateHolders();
+    private final List<AutoCloseable> resources = new CopyOnWriteArrayList<>();
+    private final AtomicInteger serverCounter = new AtomicInteger();
     private final Random random;
-    private final UnaryOperator<String> plant;
+    private final UnaryOperator<String> requestChange;
     private volatile long clockOffsetMs;
 
     /** {@code requestChange}: a deliberate defect, applied to what conductors send to servers; or null. */
-    SoakSite(Random random, UnaryOperator<String> plant) {
+    SoakSite(Random random, UnaryOperator<String> requestChange) {
         this.random = random;
-        this.plant = plant;
+        this.requestChange = requestChange;
     }
 
     /** To be called before the first server is added. {@code hasControl}: the process listens for operators' commands. */
-    ConductorProcess addConductor(Path folder, boolean operated, String settings) throws IOException {
+    ConductorProcess addConductor(Path folder, boolean hasControl, String settings) throws IOException {
         String name = "n" + conductors.size();
-        ConductorProcess conductor = new ConductorProcess(name, folder.resolve(name), operated, settings);
+        ConductorProcess conductor = new ConductorProcess(name, folder.resolve(name), hasControl, settings);
         conductors.add(conductor);
-        all.add(conductor);
+        resources.add(conductor);
         return conductor;
     }
 
     ServerStandIn addServer(Role role, long startedMs) throws IOException {
-        String id = "s-" + serverNumbers.incrementAndGet();
-        ServerStandIn server = new ServerStandIn(id, role, history, states, random.nextLong());
-        all.add(server);
+        String id = "s-" + serverCounter.incrementAndGet();
+        ServerStandIn server = new ServerStandIn(id, role, history, stateHolders, random.nextLong());
+        resources.add(server);
         for (ConductorProcess conductor : conductors) {
             FaultProxy proxy = new FaultProxy(conductor.name, server.address());
-            proxy.plant = plant;
+            proxy.requestChange = requestChange;
             proxies.put(conductor.name + " " + id, proxy);
-            all.add(proxy);
+            resources.add(proxy);
         }
         servers.put(id, server);
         fleet.put(id, role, "active", startedMs);
@@ -68,8 +68,8 @@
         DiscoveryAgent agent = new DiscoveryAgent(
                 conductor.name, fleet, id -> proxy(conductor, id).hostAndPort(), history);
         agents.put(conductor.name, agent);
-        all.add(agent);
-        conductor.configure(agent.host());
+        resources.add(agent);
+        conductor.configure(agent.hostAndPort());
         return agent;
     }
 
@@ -85,7 +85,7 @@
         return conductors.stream().map(c -> proxy(c, server.id)).toList();
     }
 
-    List<ServerStandIn> listed() {
+    List<ServerStandIn> activeServers() {
         return servers.values().stream()
                 .filter(s -> fleet.get(s.id).state().equals("active"))
                 .sorted(Comparator.comparing(s -> s.id))
@@ -99,7 +99,7 @@
             conductor.start();
         }
         for (ConductorProcess conductor : conductors) {
-            if (conductor.awaitReady(START_MS) < 0) {
+            if (conductor.awaitReady(START_TIMEOUT_MS) < 0) {
                 throw new IllegalStateException(conductor.name + " was not ready in time");
             }
             conductor.takesClients(true);
@@ -113,14 +113,14 @@
     /** Steps the wall clock of all conductors; the stand-ins' start times follow it too. */
     void stepClock(Duration by) {
         clockOffsetMs += by.toMillis();
-        conductors.forEach(c -> c.shim.clockOffset(Duration.ofMillis(clockOffsetMs)));
+        conductors.forEach(c -> c.shim.setClockOffset(Duration.ofMillis(clockOffsetMs)));
     }
 
     @Override
     public void close() {
-        for (AutoCloseable part : all) {
+        for (AutoCloseable resource : resources) {
             try {
-                part.close();
+                resource.close();
             } catch (Exception e) {
                 throw new IllegalStateException(e);
             }
