--- a/src/test/java/copperbeam/model/AttemptRules.java
+++ b/src/test/java/copperbeam/model/AttemptRules.java
@@ -1,15 +1,15 @@
 package copperbeam.model;
 
-import copperbeam.Api.Effect;
+import copperbeam.Api.Repeats;
 import copperbeam.Api.RequestClass;
 import java.time.Duration;
 import java.util.Objects;
 
 /** Limits on attempts: when, how often and to which servers a request may be sent, and which timeout the server is told. */
 final class AttemptRules implements Rule {
-    private static final long AFTER_CLOSE = 100 * VirtualTime.MILLI;
-    private static final long TOLD_TOO_LONG = 150 * VirtualTime.MILLI;
-    private static final long TIME_LIMIT_SLACK = 50 * VirtualTime.MILLI;
+    private static final long MAX_SEND_AFTER_CLOSE_NS = 100 * VirtualTime.NANOS_PER_MS;
+    private static final long MAX_TIMEOUT_EXCESS_NS = 150 * VirtualTime.NANOS_PER_MS;
+    private static final long WINDOW_SLACK_NS = 50 * VirtualTime.NANOS_PER_MS;
 
     private final World world;
 
@@ -18,52 +18,57 @@
     }
 
     @Override
-    public void headLeft(Attempt attempt, Duration told) {
-        long left = attempt.request.clientDeadline - world.time.now();
-        if (told.toNanos() > left + TOLD_TOO_LONG) {
-            world.broken(
-                    "announces a timeout of " + told.toMillis() + " ms, remaining ms: " + left / VirtualTime.MILLI, attempt.request, null);
+    public void headSent(Attempt attempt, Duration announcedTimeout) {
+        long remaining = attempt.request.clientDeadline - world.time.now();
+        if (announcedTimeout.toNanos() > remaining + MAX_TIMEOUT_EXCESS_NS) {
+            world.reportViolation(
+                    "announces a timeout of " + announcedTimeout.toMillis() + " ms, remaining ms: "
+                            + remaining / VirtualTime.NANOS_PER_MS,
+                    attempt.request,
+                    null);
         }
     }
 
     @Override
-    public void lastByteLeft(Attempt attempt) {
+    public void lastByteSent(Attempt attempt) {
         ClientRequest request = attempt.request;
         long now = world.time.now();
-        if (request.attempts.stream().anyMatch(a -> a != attempt && a.out())) {
-            world.broken("two attempts in flight", request, attempt.server);
+        if (request.attempts.stream().anyMatch(a -> a != attempt && a.isInFlight())) {
+            world.reportViolation("two attempts in flight", request, attempt.server);
         }
-        long begun = request.attempts.stream().filter(a -> a.lastByteAt >= 0).count();
-        if (begun > world.settings.settings().limits().maxAttempts()) {
-            world.broken("more attempts than allowed: " + begun, request, attempt.server);
+        long attemptCount =
+                request.attempts.stream().filter(a -> a.lastByteSentAt >= 0).count();
+        if (attemptCount > world.settings.moduleSettings().limits().maxAttempts()) {
+            world.reportViolation("more attempts than allowed: " + attemptCount, request, attempt.server);
         }
-        if (request.leftAt >= 0 && now - request.leftAt > AFTER_CLOSE) {
-            world.broken("sent to a server after the client had disconnected", request, attempt.server);
+        if (request.clientGoneAt >= 0 && now - request.clientGoneAt > MAX_SEND_AFTER_CLOSE_NS) {
+            world.reportViolation("sent to a server after the client had disconnected", request, attempt.server);
         }
-        if (request.ending != null || request.streamingSince >= 0) {
-            world.broken("sent to a server after the final answer or the start of the stream", request, attempt.server);
+        if (request.outcome != null || request.streamingSince >= 0) {
+            world.reportViolation(
+                    "sent to a server after the final answer or the start of the stream", request, attempt.server);
         }
         request.attempts.stream()
                 .filter(a -> a != attempt && a.mayHaveRun())
                 .findFirst()
-                .ifPresent(first -> repeated(request, first, attempt));
+                .ifPresent(first -> checkRepeat(request, first, attempt));
     }
 
-    private void repeated(ClientRequest request, Attempt first, Attempt again) {
-        RequestClass c = world.settings.requestClass(request.ask.requestClass());
-        if (c.effect() == Effect.UNSAFE) {
-            world.broken("repeated a request of an unsafe class", request, again.server);
-        } else if (c.effect() == Effect.KEYED) {
-            boolean within = switch (c.group()) {
+    private void checkRepeat(ClientRequest request, Attempt first, Attempt repeat) {
+        RequestClass requestClass = world.settings.requestClass(request.spec.requestClass());
+        if (requestClass.repeats() == Repeats.UNSAFE) {
+            world.reportViolation("repeated a request of an unsafe class", request, repeat.server);
+        } else if (requestClass.repeats() == Repeats.KEYED) {
+            boolean withinGroup = switch (requestClass.dedupScope()) {
                 case ALL -> true;
-                case ZONE -> Objects.equals(first.server.zone, again.server.zone);
-                case CELL -> first.server.cell == again.server.cell;
+                case ZONE -> Objects.equals(first.server.zone, repeat.server.zone);
+                case CELL -> first.server.cell == repeat.server.cell;
             };
-            if (!within) {
-                world.broken("repeated outside its group", request, again.server);
+            if (!withinGroup) {
+                world.reportViolation("repeated outside its group", request, repeat.server);
             }
-            if (again.lastByteAt - first.lastByteAt > c.windowS() * 1e9 + TIME_LIMIT_SLACK) {
-                world.broken("repeated after the end of its window", request, again.server);
+            if (repeat.lastByteSentAt - first.lastByteSentAt > requestClass.dedupS() * 1e9 + WINDOW_SLACK_NS) {
+                world.reportViolation("repeated after the end of its window", request, repeat.server);
             }
         }
     }
--- a/src/test/java/copperbeam/model/ClientRequest.java
+++ b/src/test/java/copperbeam/model/ClientRequest.java
@@ -1,15 +1,15 @@
 package copperbeam.model;
 
-import copperbeam.routing.Answer;
-import copperbeam.routing.Ask;
+import copperbeam.routing.RequestSpec;
+import copperbeam.routing.ResponseSink;
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
 
 /** One request of a simulated client, which also receives the response. */
-final class ClientRequest implements Answer {
-    enum Final {
+final class ClientRequest implements ResponseSink {
+    enum Outcome {
         REFUSED,
         FAILED,
         SERVED,
@@ -18,40 +18,40 @@
 
     final World world;
     final ModelProcess process;
-    final Ask ask;
-    final int retries;
+    final RequestSpec spec;
+    final int retryCount;
     final long arrivedAt;
     final long clientDeadline;
     final List<Attempt> attempts = new ArrayList<>();
-    final boolean slowReader;
-    Final ending;
+    final boolean slowClient;
+    Outcome outcome;
     long endedAt = -1;
-    int finals;
-    long leftAt = -1; // when the client disconnected; -1 while connected
-    boolean excused; // the process was killed, so no answer can come
+    int finalAnswerCount;
+    long clientGoneAt = -1; // when the client disconnected; -1 while connected
+    boolean lostWithProcess; // the process was killed, so no answer can come
     long streamingSince = -1;
     long lastEventAt = -1;
 
     ClientRequest(
             World world,
             ModelProcess process,
-            Ask ask,
-            int retries,
+            RequestSpec spec,
+            int retryCount,
             long arrivedAt,
             long clientDeadline,
-            boolean slowReader) {
+            boolean slowClient) {
         this.world = world;
         this.process = process;
-        this.ask = ask;
-        this.retries = retries;
+        this.spec = spec;
+        this.retryCount = retryCount;
         this.arrivedAt = arrivedAt;
         this.clientDeadline = clientDeadline;
-        this.slowReader = slowReader;
+        this.slowClient = slowClient;
     }
 
     /** Nothing more is owed: the request was answered, its client disconnected, or its process was killed. */
-    boolean over() {
-        return ending != null || leftAt >= 0 || excused;
+    boolean isOver() {
+        return outcome != null || clientGoneAt >= 0 || lostWithProcess;
     }
 
     Attempt lastAttempt() {
@@ -65,64 +65,65 @@
     }
 
     @Override
-    public boolean event(byte[] raw, Runnable drained) {
-        String[] fields = new String(raw, StandardCharsets.US_ASCII).trim().split(" ");
+    public boolean event(byte[] eventBytes, Runnable onDrained) {
+        String[] fields =
+                new String(eventBytes, StandardCharsets.US_ASCII).trim().split(" ");
         int index = Integer.parseInt(fields[3]);
-        Attempt of = fields[1].equals(ask.id()) ? attempts.get(Integer.parseInt(fields[2])) : null;
+        Attempt attempt = fields[1].equals(spec.id()) ? attempts.get(Integer.parseInt(fields[2])) : null;
         lastEventAt = world.time.now();
-        world.rules(r -> r.event(this, of, index));
-        if (slowReader) {
-            world.time.after(world.random.nextInt(200) * VirtualTime.MILLI, drained);
+        world.notifyRules(r -> r.eventReceived(this, attempt, index));
+        if (slowClient) {
+            world.time.runAfter(world.random.nextInt(200) * VirtualTime.NANOS_PER_MS, onDrained);
         } else {
-            drained.run();
+            onDrained.run();
         }
         return true;
     }
 
     @Override
     public void end() {
-        end(Final.SERVED);
-        world.rules(r -> r.streamEnded(this));
+        end(Outcome.SERVED);
+        world.notifyRules(r -> r.streamEnded(this));
     }
 
     @Override
     public void broken() {
-        end(Final.BROKEN);
-        world.rules(r -> r.streamBroken(this));
-        world.clientMayResume(this);
+        end(Outcome.BROKEN);
+        world.notifyRules(r -> r.streamBroken(this));
+        world.maybeResume(this);
     }
 
     @Override
     public void refuse(Duration retryAfter, boolean tried) {
-        end(Final.REFUSED);
-        world.rules(r -> r.refused(this));
-        world.clientMayRetry(this, retryAfter);
+        end(Outcome.REFUSED);
+        world.notifyRules(r -> r.requestRefused(this));
+        world.maybeRetry(this, retryAfter);
     }
 
     @Override
     public void fail(Failure why) {
-        end(Final.FAILED);
-        world.rules(r -> r.failed(this));
-        world.clientMayRetry(this, Duration.ZERO);
+        end(Outcome.FAILED);
+        world.notifyRules(r -> r.requestFailed(this));
+        world.maybeRetry(this, Duration.ZERO);
     }
 
-    private void end(Final how) {
-        finals++;
-        world.log(this, how.name());
-        if (ending == null) {
-            ending = how;
+    private void end(Outcome finalOutcome) {
+        finalAnswerCount++;
+        world.log(this, finalOutcome.name());
+        if (outcome == null) {
+            outcome = finalOutcome;
             endedAt = world.time.now();
         }
-        world.mayPreempt(process);
+        world.maybePreempt(process);
     }
 
     @Override
     public boolean gone() {
-        return leftAt >= 0 && world.time.now() >= leftAt;
+        return clientGoneAt >= 0 && world.time.now() >= clientGoneAt;
     }
 
     @Override
     public String toString() {
-        return ask.id() + " " + ask.requestClass();
+        return spec.id() + " " + spec.requestClass();
     }
 }
--- a/src/test/java/copperbeam/model/DrainRule.java
+++ b/src/test/java/copperbeam/model/DrainRule.java
@@ -10,31 +10,31 @@
  * draining or gone.
  */
 final class DrainRule implements Rule {
-    private static final long TIME_LIMIT_SLACK = 50 * VirtualTime.MILLI;
+    private static final long GRACE_SLACK_NS = 50 * VirtualTime.NANOS_PER_MS;
 
     private final World world;
-    private final Map<ModelProcess, Map<ModelServer, Long>> drainsSince = new HashMap<>();
+    private final Map<ModelProcess, Map<ModelServer, Long>> drainingSince = new HashMap<>();
 
     DrainRule(World world) {
         this.world = world;
     }
 
     @Override
-    public void told(ModelProcess process, ModelServer server, Api.ServerState state, double launchedAt) {
-        Map<ModelServer, Long> drains = drainsSince.computeIfAbsent(process, p -> new HashMap<>());
+    public void serverListed(ModelProcess process, ModelServer server, Api.ServerState state, double launchedAt) {
+        Map<ModelServer, Long> draining = drainingSince.computeIfAbsent(process, p -> new HashMap<>());
         if (state == Api.ServerState.READY) {
-            drains.remove(server);
+            draining.remove(server);
         } else {
-            drains.putIfAbsent(server, world.time.now());
+            draining.putIfAbsent(server, world.time.now());
         }
     }
 
     @Override
-    public void headLeft(Attempt attempt, Duration told) {
-        Long since = drainsSince.getOrDefault(attempt.process, Map.of()).get(attempt.server);
-        long grace = world.settings.drainGrace().toNanos() + TIME_LIMIT_SLACK + world.heldUp;
+    public void headSent(Attempt attempt, Duration announcedTimeout) {
+        Long since = drainingSince.getOrDefault(attempt.process, Map.of()).get(attempt.server);
+        long grace = world.settings.drainGrace().toNanos() + GRACE_SLACK_NS + world.maxPause;
         if (since != null && world.time.now() - since > grace) {
-            world.broken("sent to a draining server after the grace period", attempt.request, attempt.server);
+            world.reportViolation("sent to a draining server after the grace period", attempt.request, attempt.server);
         }
     }
 }
--- a/src/test/java/copperbeam/model/DrawnSettings.java
+++ b/src/test/java/copperbeam/model/DrawnSettings.java
@@ -17,20 +17,20 @@
     public WorldSettings draw(long seed, int processes) {
         SplittableRandom random = new SplittableRandom(seed ^ 0x5e77);
         List<Api.RequestClass> classes = new ArrayList<>();
-        Map<String, Duration> giveUp = new LinkedHashMap<>();
+        Map<String, Duration> maxClientWait = new LinkedHashMap<>();
         int count = 1 + random.nextInt(4);
         for (int i = 0; i < count; i++) {
             String name = "class" + i;
-            double aim = 0.3 + 2.7 * random.nextDouble();
+            double aimS = 0.3 + 2.7 * random.nextDouble();
             classes.add(new Api.RequestClass(
                     name,
-                    aim,
+                    aimS,
                     random.nextBoolean() ? 0.04 : 0,
                     1 + random.nextInt(4),
-                    pick(random, Api.Effect.values()),
-                    pick(random, Api.Group.values()),
+                    pick(random, Api.Repeats.values()),
+                    pick(random, Api.DedupScope.values()),
                     WINDOWS_S[random.nextInt(WINDOWS_S.length)]));
-            giveUp.put(name, Duration.ofMillis((long) (1000 * aim * (1.5 + 2.5 * random.nextDouble()))));
+            maxClientWait.put(name, Duration.ofMillis((long) (1000 * aimS * (1.5 + 2.5 * random.nextDouble()))));
         }
         Api.Settings settings = new Api.Settings(
                 processes,
@@ -46,7 +46,7 @@
                         0.5 + 2.5 * random.nextDouble(),
                         RELEASE_S[random.nextInt(RELEASE_S.length)],
                         0),
-                pick(random, Api.Reports.values()),
+                pick(random, Api.ReportTiming.values()),
                 false,
                 random.nextBoolean() ? 0 : 0.0024,
                 random.nextInt(4) == 0,
@@ -58,16 +58,16 @@
                 64,
                 Duration.ofMillis(200 + random.nextInt(1300)),
                 Duration.ofMillis(8),
-                giveUp);
+                maxClientWait);
     }
 
-    private static List<Api.Kind> kinds(SplittableRandom random) {
-        Api.Kind mixed = new Api.Kind("mixed", Api.Role.MIXED, 200_000);
+    private static List<Api.ServerKind> kinds(SplittableRandom random) {
+        Api.ServerKind mixed = new Api.ServerKind("mixed", Api.Role.MIXED, 200_000);
         if (random.nextInt(6) == 0) {
             return List.of(mixed);
         }
-        Api.Kind reader = new Api.Kind("reader", Api.Role.READER, 200_000);
-        Api.Kind writer = new Api.Kind("writer", Api.Role.WRITER, 150_000);
+        Api.ServerKind reader = new Api.ServerKind("reader", Api.Role.READER, 200_000);
+        Api.ServerKind writer = new Api.ServerKind("writer", Api.Role.WRITER, 150_000);
         return random.nextInt(6) == 0 ? List.of(reader, writer, mixed) : List.of(reader, writer);
     }
 
--- a/src/test/java/copperbeam/model/Exchange.java
+++ b/src/test/java/copperbeam/model/Exchange.java
@@ -1,238 +1,240 @@
 package copperbeam.model;
 
 import copperbeam.Api.Report;
+import copperbeam.routing.Connector.AnswerKind;
 import copperbeam.routing.Connector.AttemptCall;
 import copperbeam.routing.Connector.Call;
-import copperbeam.routing.Connector.Listener;
+import copperbeam.routing.Connector.CallListener;
 import copperbeam.routing.Connector.ReleaseCall;
-import copperbeam.routing.Connector.Word;
 import java.time.Duration;
 
-/** One call on a simulated {@link Link}, and its answer. */
+/** One call on a simulated {@link SimulatedConnection}, and its answer. */
 final class Exchange {
-    private static final long RETRANSMIT = 20 * VirtualTime.MILLI;
+    private static final long RETRANSMIT_INTERVAL_NS = 20 * VirtualTime.NANOS_PER_MS;
 
     private final World world;
     private final Link link;
-    private final Listener listener;
-    private final Call plain;
-    final AttemptCall call; // null for probes and releases
+    private final CallListener listener;
+    private final Call originalCall;
+    final AttemptCall attemptCall; // null for probes and releases
     final ModelServer.Fault fault;
     Attempt attempt;
-    private boolean over; // the listener has received its last notification
-    private boolean lastByteLeft;
-    private long closedAt = Long.MAX_VALUE; // when the server notices that the connection was closed
+    private boolean listenerDone; // the listener has received its last notification
+    private boolean lastByteSent;
+    private long closeNoticedAt = Long.MAX_VALUE; // when the server notices that the connection was closed
     private boolean aborted; // closed with a TCP reset, so that a last byte still on its way is lost
-    private long toldUntil = Long.MAX_VALUE; // end of the timeout that the server was told
-    private int unread; // received bytes for which the process has not yet extended the receive window again
+    private long announcedDeadline = Long.MAX_VALUE; // end of the timeout that the server was told
+    private int unreadBytes; // received bytes for which the process has not yet extended the receive window again
 
-    Exchange(Link link, Call call, Listener listener) {
+    Exchange(Link link, Call call, CallListener listener) {
         world = link.world;
         this.link = link;
-        this.plain = call;
-        this.call = call instanceof AttemptCall a ? a : null;
+        this.originalCall = call;
+        this.attemptCall = call instanceof AttemptCall a ? a : null;
         this.listener = listener;
-        fault = this.call == null ? null : link.server.drawFault();
+        fault = this.attemptCall == null ? null : link.server.drawFault();
     }
 
     String requestId() {
-        return call.ask().id();
+        return attemptCall.spec().id();
     }
 
-    double tokens() {
-        return call.ask().promptTokens();
+    double promptTokens() {
+        return attemptCall.spec().promptTokens();
     }
 
     // ---- to the server -------------------------------------------------------------------------
 
     /** Sends the head of an attempt, or a whole probe or release. */
-    void leave() {
+    void sendHead() {
         if (!link.isOpen()) {
-            toldBroken();
+            notifyBroken();
             return;
         }
-        if (call == null) {
-            if (plain instanceof ReleaseCall r) {
-                link.toServer(() -> link.server.release(this, r.id()));
+        if (attemptCall == null) {
+            if (originalCall instanceof ReleaseCall releaseCall) {
+                link.sendToServer(() -> link.server.answerRelease(this, releaseCall.requestId()));
             } else {
-                link.toServer(() -> link.server.probe(this));
+                link.sendToServer(() -> link.server.answerProbe(this));
             }
             return;
         }
-        if (!call.mayBegin().getAsBoolean()) {
+        if (!attemptCall.maySendHead().getAsBoolean()) {
             link.close();
             return;
         }
         ClientRequest request = world.requests.get(requestId());
         attempt = new Attempt(request, link.process, link.server, request.attempts.size());
         request.attempts.add(attempt);
-        Duration told = call.patience().get();
-        toldUntil = world.time.now() + told.toNanos();
+        Duration announcedTimeout = attemptCall.timeLeft().get();
+        announcedDeadline = world.time.now() + announcedTimeout.toNanos();
         world.log(
                 request,
-                "head of attempt " + attempt.number + " to " + link.server + " announces " + told.toMillis() + " ms"
-                        + (call.hold() ? ", last byte held back" : "") + (fault == null ? "" : ", will meet fault " + fault));
-        world.rules(r -> r.headLeft(attempt, told));
-        if (fault == ModelServer.Fault.RESET_BEFORE_LAST_BYTE && call.hold()) {
-            link.serverResets();
+                "head of attempt " + attempt.number + " to " + link.server + " announces " + announcedTimeout.toMillis()
+                        + " ms" + (attemptCall.holdLastByte() ? ", last byte held back" : "")
+                        + (fault == null ? "" : ", will meet fault " + fault));
+        world.notifyRules(releaseCall -> releaseCall.headSent(attempt, announcedTimeout));
+        if (fault == ModelServer.Fault.RESET_BEFORE_LAST_BYTE && attemptCall.holdLastByte()) {
+            link.resetByServer();
         }
-        world.clientMayLeaveNow(request);
-        if (call.hold()) {
-            link.process.reactor(world.reactorTurn(), () -> {
-                if (link.isOpen() && !over) {
-                    listener.held();
+        world.maybeDisconnectClient(request);
+        if (attemptCall.holdLastByte()) {
+            link.process.runOnReactor(world.drawReactorDelay(), () -> {
+                if (link.isOpen() && !listenerDone) {
+                    listener.lastByteHeld();
                 }
             });
         } else {
-            link.process.reactor(world.random.nextInt(8) == 0 ? world.reactorTurn() : 0, this::lastByte);
+            link.process.runOnReactor(world.random.nextInt(8) == 0 ? world.drawReactorDelay() : 0, this::sendLastByte);
         }
     }
 
-    void lastByte() {
-        if (!link.isOpen() || over || lastByteLeft) {
+    void sendLastByte() {
+        if (!link.isOpen() || listenerDone || lastByteSent) {
             return;
         }
-        if (!call.wanted().getAsBoolean()) {
+        if (!attemptCall.maySendLastByte().getAsBoolean()) {
             world.log(attempt.request, "last byte not sent, the attempt is no longer wanted");
             link.close();
             return;
         }
-        lastByteLeft = true;
-        attempt.lastByteAt = world.time.now();
+        lastByteSent = true;
+        attempt.lastByteSentAt = world.time.now();
         world.log(attempt.request, "last byte of attempt " + attempt.number + " to " + link.server);
-        world.rules(r -> r.lastByteLeft(attempt));
+        world.notifyRules(r -> r.lastByteSent(attempt));
         listener.sent();
-        world.clientMayLeaveNow(attempt.request);
-        link.toServer(() -> {
+        world.maybeDisconnectClient(attempt.request);
+        link.sendToServer(() -> {
             if (!aborted) {
-                world.rules(r -> r.lastByteArrived(attempt));
-                link.server.attempt(this);
+                world.notifyRules(r -> r.lastByteArrived(attempt));
+                link.server.receiveAttempt(this);
             }
         });
     }
 
-    void closedByProcess(boolean abort) {
-        aborted = abort;
-        attemptOver(Attempt.Proof.NONE);
-        tellClose();
+    void onClosedByProcess(boolean withReset) {
+        aborted = withReset;
+        endAttempt(Attempt.Proof.NONE);
+        deliverClose();
     }
 
     /** Notifies the server of a close, retransmitting while the server is unreachable. */
-    private void tellClose() {
-        if (link.server.reachable(link.process)) {
-            closedAt = Math.min(closedAt, world.time.now() + world.latency());
+    private void deliverClose() {
+        if (link.server.isReachableFrom(link.process)) {
+            closeNoticedAt = Math.min(closeNoticedAt, world.time.now() + world.drawLatency());
         } else if (link.server.running) {
-            world.time.after(RETRANSMIT, this::tellClose);
+            world.time.runAfter(RETRANSMIT_INTERVAL_NS, this::deliverClose);
         }
     }
 
-    void closedByServer() {
-        closedAt = Math.min(closedAt, world.time.now());
+    void onClosedByServer() {
+        closeNoticedAt = Math.min(closeNoticedAt, world.time.now());
     }
 
-    boolean closedAtServer() {
-        return world.time.now() >= closedAt;
+    boolean isClosedAtServer() {
+        return world.time.now() >= closeNoticedAt;
     }
 
     /** The timeout that the process announced in the head has expired. */
-    boolean overAtServer() {
-        return world.time.now() >= toldUntil;
+    boolean isExpiredAtServer() {
+        return world.time.now() >= announcedDeadline;
     }
 
     /** The call was closed or has expired at least {@code minAge} nanoseconds ago, so that the server has noticed. */
-    boolean goneAtServer(long since) {
-        return world.time.now() - since >= Math.min(closedAt, toldUntil);
+    boolean isAbandonedAtServer(long minAge) {
+        return world.time.now() - minAge >= Math.min(closeNoticedAt, announcedDeadline);
     }
 
     // ---- from the server -----------------------------------------------------------------------
 
-    void answer(Word word, Report report, double kept) {
-        Attempt.Proof proof =
-                word == Word.TURNED_AWAY || word == Word.STATE_MISSING ? Attempt.Proof.NEVER_RAN : Attempt.Proof.NONE;
-        link.toProcess(() -> {
-            if (!over) {
+    void sendAnswer(AnswerKind kind, Report report, double keptTokens) {
+        Attempt.Proof proof = kind == AnswerKind.TURNED_AWAY || kind == AnswerKind.STATE_MISSING
+                ? Attempt.Proof.NEVER_RAN
+                : Attempt.Proof.NONE;
+        link.sendToProcess(() -> {
+            if (!listenerDone) {
                 if (attempt != null) {
-                    world.log(attempt.request, "attempt " + attempt.number + " receives " + word);
+                    world.log(attempt.request, "attempt " + attempt.number + " receives " + kind);
                 }
-                listener.word(word, report);
+                listener.answerClassified(kind, report);
             }
         });
-        end(kept, proof);
+        completeAnswer(keptTokens, proof);
     }
 
-    void word(Word word, Report report) {
-        link.toProcess(() -> {
-            if (!over) {
-                listener.word(word, report);
+    void sendAnswerKind(AnswerKind kind, Report report) {
+        link.sendToProcess(() -> {
+            if (!listenerDone) {
+                listener.answerClassified(kind, report);
             }
         });
     }
 
-    void event(byte[] raw) {
-        link.toProcess(() -> {
-            if (!over) {
-                unread += raw.length;
-                listener.event(raw);
+    void sendEvent(byte[] eventBytes) {
+        link.sendToProcess(() -> {
+            if (!listenerDone) {
+                unreadBytes += eventBytes.length;
+                listener.event(eventBytes);
             }
         });
     }
 
-    void end(double kept) {
-        end(kept, Attempt.Proof.NONE);
+    void completeAnswer(double keptTokens) {
+        completeAnswer(keptTokens, Attempt.Proof.NONE);
     }
 
-    private void end(double kept, Attempt.Proof proof) {
+    private void completeAnswer(double keptTokens, Attempt.Proof proof) {
         boolean reusable = world.random.nextInt(10) > 0;
-        link.toProcess(() -> {
-            if (!over) {
-                over = true;
+        link.sendToProcess(() -> {
+            if (!listenerDone) {
+                listenerDone = true;
                 if (attempt != null) {
-                    attempt.endHeardAt = world.time.now();
+                    attempt.endReceivedAt = world.time.now();
                 }
-                attemptOver(proof);
-                link.done(this, reusable);
-                listener.end(reusable, kept);
+                endAttempt(proof);
+                link.onAnswerComplete(this, reusable);
+                listener.end(reusable, keptTokens);
             }
         });
     }
 
-    void reset() {
-        link.serverResets();
+    void resetConnection() {
+        link.resetByServer();
     }
 
     /** The process has learned that the connection is gone. */
-    void broken() {
-        attemptOver(lastByteLeft ? Attempt.Proof.NONE : Attempt.Proof.NEVER_RAN);
-        toldBroken();
+    void onConnectionLost() {
+        endAttempt(lastByteSent ? Attempt.Proof.NONE : Attempt.Proof.NEVER_RAN);
+        notifyBroken();
     }
 
-    void toldBroken() {
-        if (!over) {
-            over = true;
-            listener.broken(lastByteLeft || call == null);
+    void notifyBroken() {
+        if (!listenerDone) {
+            listenerDone = true;
+            listener.broken(lastByteSent || attemptCall == null);
         }
     }
 
-    private void attemptOver(Attempt.Proof proof) {
-        if (attempt != null && attempt.overAt < 0) {
-            attempt.overAt = world.time.now();
-            attempt.proof = lastByteLeft ? proof : Attempt.Proof.NEVER_RAN;
+    private void endAttempt(Attempt.Proof proof) {
+        if (attempt != null && attempt.endedAt < 0) {
+            attempt.endedAt = world.time.now();
+            attempt.proof = lastByteSent ? proof : Attempt.Proof.NEVER_RAN;
             world.log(attempt.request, "attempt " + attempt.number + " ended, proof " + attempt.proof);
-            world.rules(r -> r.attemptOver(attempt));
+            world.notifyRules(r -> r.attemptEnded(attempt));
         }
     }
 
     // ---- flow control ----------------------------------------------------------------------------
 
-    int unread() {
-        return unread;
+    int unreadBytes() {
+        return unreadBytes;
     }
 
-    void granted(int bytes) {
-        unread -= bytes;
+    void onWindowGranted(int bytes) {
+        unreadBytes -= bytes;
     }
 
-    boolean heldBack() {
-        return unread > 32_767;
+    boolean isReceiveWindowFull() {
+        return unreadBytes > 32_767;
     }
 }
--- a/src/test/java/copperbeam/model/Faults.java
+++ b/src/test/java/copperbeam/model/Faults.java
@@ -11,238 +11,247 @@
 
 /** Draws the faults of a world and their times, and injects them. */
 final class Faults {
-    private static final long FIRST = VirtualTime.SECOND / 2;
-    private static final long LAST = 7 * VirtualTime.SECOND;
+    private static final long FIRST_FAULT_NS = VirtualTime.NANOS_PER_S / 2;
+    private static final long LAST_FAULT_NS = 7 * VirtualTime.NANOS_PER_S;
 
     private enum Kind {
         HANG,
-        VANISH,
+        NETWORK_DOWN,
         RESTART,
         REPLACE,
-        DRAIN_AND_BACK,
-        CUT,
-        SLOW,
-        FAULTY,
-        LATE_CONNECTIONS,
-        HOLD_UP,
+        DRAIN_THEN_READY,
+        PARTITION,
+        SLOWDOWN,
+        FAULTY_ANSWERS,
+        LATE_CONNECTS,
+        PAUSE,
         KILL,
         STOP
     }
 
     private final World world;
     private final SplittableRandom random;
-    private final Set<ModelProcess> heldUp = new HashSet<>();
+    private final Set<ModelProcess> pausedProcesses = new HashSet<>();
 
     Faults(World world) {
         this.world = world;
         random = world.random.split(); // a source of its own, so that the faults do not depend on what the router does
     }
 
-    void draw() {
+    void drawAndSchedule() {
         int count = random.nextInt(8) * (1 + world.servers.size() / 12);
-        boolean holdsUp = random.nextInt(5) == 0;
+        boolean withPauses = random.nextInt(5) == 0;
         for (int i = 0; i < count; i++) {
             Kind kind = Kind.values()[random.nextInt(Kind.values().length)];
-            long at = FIRST + (long) (random.nextDouble() * (LAST - FIRST));
-            long span = (long) ((0.2 + 3.8 * random.nextDouble()) * VirtualTime.SECOND);
-            if (kind != Kind.HOLD_UP || holdsUp) {
-                world.time.at(at, () -> begin(kind, span));
+            long startTime = FIRST_FAULT_NS + (long) (random.nextDouble() * (LAST_FAULT_NS - FIRST_FAULT_NS));
+            long duration = (long) ((0.2 + 3.8 * random.nextDouble()) * VirtualTime.NANOS_PER_S);
+            if (kind != Kind.PAUSE || withPauses) {
+                world.time.runAt(startTime, () -> inject(kind, duration));
             }
         }
-        if (holdsUp) {
-            world.heldUp += 300 * VirtualTime.MILLI;
+        if (withPauses) {
+            world.maxPause += 300 * VirtualTime.NANOS_PER_MS;
         }
     }
 
-    private ModelServer server() {
-        List<ModelServer> listed = world.servers.stream()
+    private ModelServer randomServer() {
+        List<ModelServer> candidates = world.servers.stream()
                 .filter(s -> s.state == ServerState.READY && s.running)
                 .toList();
-        return listed.isEmpty() ? null : listed.get(random.nextInt(listed.size()));
+        return candidates.isEmpty() ? null : candidates.get(random.nextInt(candidates.size()));
     }
 
-    private ModelProcess process() {
+    private ModelProcess randomProcess() {
         return world.processes.get(random.nextInt(world.processes.size()));
     }
 
-    private void begin(Kind kind, long span) {
-        ModelServer s = server();
-        if (s == null) {
+    private void inject(Kind kind, long duration) {
+        ModelServer server = randomServer();
+        if (server == null) {
             return;
         }
-        world.log(s, kind + " for " + span / VirtualTime.MILLI + " ms");
+        world.log(server, kind + " for " + duration / VirtualTime.NANOS_PER_MS + " ms");
         switch (kind) {
-            case HANG -> s.hungUntil = Math.max(s.hungUntil, world.time.now() + span);
-            case VANISH -> vanish(s, span);
-            case RESTART -> restart(s, span);
-            case REPLACE -> replace(s);
-            case DRAIN_AND_BACK -> drainAndBack(s, span);
-            case CUT -> cut(span);
-            case SLOW -> slow(s, span);
-            case FAULTY -> faulty(s, span);
-            case LATE_CONNECTIONS -> lateConnections(span);
-            case HOLD_UP -> holdUp(process());
-            case KILL -> kill(process());
-            case STOP -> stop(process());
+            case HANG -> server.hungUntil = Math.max(server.hungUntil, world.time.now() + duration);
+            case NETWORK_DOWN -> takeNetworkDown(server, duration);
+            case RESTART -> restart(server, duration);
+            case REPLACE -> replace(server);
+            case DRAIN_THEN_READY -> drainThenReady(server, duration);
+            case PARTITION -> partition(duration);
+            case SLOWDOWN -> slowDown(server, duration);
+            case FAULTY_ANSWERS -> makeFaulty(server, duration);
+            case LATE_CONNECTS -> delayConnects(duration);
+            case PAUSE -> pause(randomProcess());
+            case KILL -> kill(randomProcess());
+            case STOP -> stop(randomProcess());
             default -> throw new IllegalStateException("unknown fault " + kind);
         }
     }
 
     /** Pauses a process for up to 300 ms; at most once per process, as the rules allow for a single pause. */
-    private void holdUp(ModelProcess p) {
-        if (heldUp.add(p)) {
-            p.thread.block(world.time.now() + (long) (random.nextDouble() * 300 * VirtualTime.MILLI));
+    private void pause(ModelProcess process) {
+        if (pausedProcesses.add(process)) {
+            process.actorThread.pauseUntil(
+                    world.time.now() + (long) (random.nextDouble() * 300 * VirtualTime.NANOS_PER_MS));
         }
     }
 
-    private void vanish(ModelServer s, long span) {
-        s.vanished = true;
-        world.time.after(span, () -> {
-            s.vanished = false;
-            world.resetConnections(s);
+    private void takeNetworkDown(ModelServer server, long duration) {
+        server.networkDown = true;
+        world.time.runAfter(duration, () -> {
+            server.networkDown = false;
+            world.resetConnections(server);
         });
     }
 
-    private void restart(ModelServer s, long span) {
-        s.stop();
-        world.time.after(span / 2, () -> {
-            s.startCold();
-            world.log(s, "restarted cold");
-            tellAll(s);
+    private void restart(ModelServer server, long duration) {
+        server.stop();
+        world.time.runAfter(duration / 2, () -> {
+            server.startCold();
+            world.log(server, "restarted cold");
+            announce(server);
         });
     }
 
-    private void replace(ModelServer s) {
-        s.state = ServerState.DRAINING;
-        tellAll(s);
-        world.time.after(2 * VirtualTime.SECOND, () -> {
-            ModelServer next = world.addServer(s.kind, 0);
-            next.startCold();
-            tellAll(next);
+    private void replace(ModelServer server) {
+        server.state = ServerState.DRAINING;
+        announce(server);
+        world.time.runAfter(2 * VirtualTime.NANOS_PER_S, () -> {
+            ModelServer replacement = world.addServer(server.kind, 0);
+            replacement.startCold();
+            announce(replacement);
         });
-        world.time.after(4 * VirtualTime.SECOND, () -> {
-            s.state = ServerState.GONE;
-            tellAll(s);
-            world.time.after(2 * VirtualTime.SECOND, s::stop);
+        world.time.runAfter(4 * VirtualTime.NANOS_PER_S, () -> {
+            server.state = ServerState.GONE;
+            announce(server);
+            world.time.runAfter(2 * VirtualTime.NANOS_PER_S, server::stop);
         });
     }
 
-    private void drainAndBack(ModelServer s, long span) {
-        s.state = ServerState.DRAINING;
-        tellAll(s);
-        world.time.after(span, () -> {
-            if (s.running && s.state == ServerState.DRAINING) {
-                s.state = ServerState.READY;
-                tellAll(s);
+    private void drainThenReady(ModelServer server, long duration) {
+        server.state = ServerState.DRAINING;
+        announce(server);
+        world.time.runAfter(duration, () -> {
+            if (server.running && server.state == ServerState.DRAINING) {
+                server.state = ServerState.READY;
+                announce(server);
             }
         });
     }
 
     /** Announces a server to each process after a delay of its own, with its state at that time. */
-    private void tellAll(ModelServer s) {
+    private void announce(ModelServer server) {
         for (int i = 0; i < world.processes.size(); i++) {
             int index = i;
-            long after = (long) (random.nextDouble() * (random.nextInt(3) == 0 ? 2 : 0.3) * VirtualTime.SECOND);
-            world.time.after(after, () -> {
-                ModelProcess p = world.processes.get(index);
-                if (!p.ended()) {
-                    boolean whole = random.nextInt(4) == 0;
-                    p.tell(whole ? ListKind.FULL : ListKind.DELTA, whole ? world.listed() : List.of(s));
+            long delay = (long) (random.nextDouble() * (random.nextInt(3) == 0 ? 2 : 0.3) * VirtualTime.NANOS_PER_S);
+            world.time.runAfter(delay, () -> {
+                ModelProcess process = world.processes.get(index);
+                if (!process.hasEnded()) {
+                    boolean fullList = random.nextInt(4) == 0;
+                    process.deliverList(
+                            fullList ? ListKind.FULL : ListKind.DELTA,
+                            fullList ? world.listedServers() : List.of(server));
                 }
             });
         }
     }
 
-    private void cut(long span) {
-        List<ModelServer> some = new ArrayList<>(world.servers);
-        some.removeIf(s -> random.nextInt(3) == 0);
-        List<Integer> from = new ArrayList<>();
+    private void partition(long duration) {
+        List<ModelServer> affectedServers = new ArrayList<>(world.servers);
+        affectedServers.removeIf(s -> random.nextInt(3) == 0);
+        List<Integer> affectedProcesses = new ArrayList<>();
         for (int i = 0; i < world.processes.size(); i++) {
             if (random.nextBoolean()) {
-                from.add(i);
+                affectedProcesses.add(i);
             }
         }
-        some.forEach(s -> s.cutFrom.addAll(from));
-        world.time.after(
-                span,
-                () -> some.forEach(s -> {
-                    s.cutFrom.removeAll(from);
+        affectedServers.forEach(s -> s.partitionedFrom.addAll(affectedProcesses));
+        world.time.runAfter(
+                duration,
+                () -> affectedServers.forEach(s -> {
+                    s.partitionedFrom.removeAll(affectedProcesses);
                     List.copyOf(world.links).stream()
-                            .filter(l -> l.server == s && from.contains(l.process.index))
-                            .forEach(Link::serverResets);
+                            .filter(l -> l.server == s && affectedProcesses.contains(l.process.index))
+                            .forEach(Link::resetByServer);
                 }));
     }
 
-    private void slow(ModelServer s, long span) {
-        s.slowness = 2 + 8 * random.nextDouble();
-        world.time.after(span, () -> s.slowness = 1);
+    private void slowDown(ModelServer server, long duration) {
+        server.slowdownFactor = 2 + 8 * random.nextDouble();
+        world.time.runAfter(duration, () -> server.slowdownFactor = 1);
     }
 
-    private void faulty(ModelServer s, long span) {
-        List<ModelServer> some = random.nextInt(3) == 0 ? world.servers : List.of(s);
+    private void makeFaulty(ModelServer server, long duration) {
+        List<ModelServer> affectedServers = random.nextInt(3) == 0 ? world.servers : List.of(server);
         double chance = random.nextInt(3) == 0 ? 1 : 0.3 * random.nextDouble();
         ModelServer.Fault[] faults = random.nextBoolean()
                 ? ModelServer.Fault.values()
                 : new ModelServer.Fault[] {ModelServer.Fault.values()[random.nextInt(ModelServer.Fault.values().length)]
                 };
-        for (ModelServer each : some) {
-            each.faultChance = chance;
-            each.faults = faults;
-            world.time.after(span, () -> each.faultChance = 0);
+        for (ModelServer affectedServer : affectedServers) {
+            affectedServer.faultChance = chance;
+            affectedServer.faults = faults;
+            world.time.runAfter(duration, () -> affectedServer.faultChance = 0);
         }
     }
 
-    private void lateConnections(long span) {
+    private void delayConnects(long duration) {
         double chance = 0.02 + 0.5 * random.nextDouble();
-        world.servers.forEach(s -> s.lateConnects = chance);
-        world.time.after(span, () -> world.servers.forEach(s -> s.lateConnects = 0));
+        world.servers.forEach(s -> s.lateConnectChance = chance);
+        world.time.runAfter(duration, () -> world.servers.forEach(s -> s.lateConnectChance = 0));
     }
 
-    private void kill(ModelProcess p) {
-        if (p.ended()) {
+    private void kill(ModelProcess process) {
+        if (process.hasEnded()) {
             return;
         }
-        p.kill();
-        world.time.after((long) (random.nextDouble() * 2 * VirtualTime.SECOND), () -> world.start(p.index));
+        process.kill();
+        world.time.runAfter(
+                (long) (random.nextDouble() * 2 * VirtualTime.NANOS_PER_S), () -> world.startProcess(process.index));
     }
 
     /** Stops a process in the steps that copperbeam.lifecycle.Lifecycle takes, and starts a new one afterwards. */
-    private void stop(ModelProcess p) {
-        if (p.ended() || !p.takesClients) {
+    private void stop(ModelProcess process) {
+        if (process.hasEnded() || !process.acceptsClients) {
             return;
         }
-        long longest = world.settings.giveUp().values().stream()
+        long maxWait = world.settings.maxClientWait().values().stream()
                 .mapToLong(Duration::toNanos)
                 .max()
                 .orElseThrow();
-        long allowed = Math.min(longest, 3 * VirtualTime.SECOND) + 700 * VirtualTime.MILLI;
-        long early = Math.max(350 * VirtualTime.MILLI, Math.min(850 * VirtualTime.MILLI, allowed - VirtualTime.SECOND));
-        boolean resume = world.settings.settings().streamsResume();
-        world.time.after(300 * VirtualTime.MILLI, () -> p.takesClients = false);
-        if (!resume) {
-            world.time.after(600 * VirtualTime.MILLI, () -> p.ifAlive(ModelProcess::takeNoMore));
+        long stopTimeout = Math.min(maxWait, 3 * VirtualTime.NANOS_PER_S) + 700 * VirtualTime.NANOS_PER_MS;
+        long cutLead = Math.max(
+                350 * VirtualTime.NANOS_PER_MS,
+                Math.min(850 * VirtualTime.NANOS_PER_MS, stopTimeout - VirtualTime.NANOS_PER_S));
+        boolean streamsResume = world.settings.moduleSettings().streamsResumable();
+        world.time.runAfter(300 * VirtualTime.NANOS_PER_MS, () -> process.acceptsClients = false);
+        if (!streamsResume) {
+            world.time.runAfter(600 * VirtualTime.NANOS_PER_MS, () -> process.runIfAlive(ModelProcess::stopAccepting));
         }
-        world.time.after(allowed - early - 200 * VirtualTime.MILLI, () -> p.ifAlive(ModelProcess::handOver));
-        if (resume) {
-            world.time.after(allowed - early, () -> p.ifAlive(ModelProcess::cut));
+        world.time.runAfter(
+                stopTimeout - cutLead - 200 * VirtualTime.NANOS_PER_MS,
+                () -> process.runIfAlive(ModelProcess::expireOpenRequests));
+        if (streamsResume) {
+            world.time.runAfter(stopTimeout - cutLead, () -> process.runIfAlive(ModelProcess::transferStreams));
         }
-        endOnceIdle(p);
-        world.time.after(allowed, () -> {
-            p.ifAlive(ModelProcess::killAtStop);
-            world.time.after(VirtualTime.SECOND, () -> world.start(p.index));
+        endOnceIdle(process);
+        world.time.runAfter(stopTimeout, () -> {
+            process.runIfAlive(ModelProcess::killAtStopTimeout);
+            world.time.runAfter(VirtualTime.NANOS_PER_S, () -> world.startProcess(process.index));
         });
     }
 
-    private void endOnceIdle(ModelProcess p) {
-        world.time.after(20 * VirtualTime.MILLI, () -> {
-            if (p.ended()) {
+    private void endOnceIdle(ModelProcess process) {
+        world.time.runAfter(20 * VirtualTime.NANOS_PER_MS, () -> {
+            if (process.hasEnded()) {
                 return;
             }
-            boolean idle = !p.takesClients && world.open().stream().noneMatch(r -> r.process == p);
+            boolean idle =
+                    !process.acceptsClients && world.openRequests().stream().noneMatch(r -> r.process == process);
             if (idle && world.time.now() > 0) {
-                p.drain(p::end);
+                process.drain(process::end);
             } else {
-                endOnceIdle(p);
+                endOnceIdle(process);
             }
         });
     }
--- a/src/test/java/copperbeam/model/GeneratedSettings.java
+++ b/src/test/java/copperbeam/model/GeneratedSettings.java
@@ -19,7 +19,7 @@
  * @param invalidKey the key that the error message must name, or null if the configuration must be accepted
  */
 public record GeneratedSettings(long seed, Map<String, Object> root, String invalidKey) {
-    private static final String[] NAMES = {
+    private static final String[] CLASS_NAMES = {
         "ask",
         "two words",
         "größer",
@@ -48,40 +48,43 @@
         "\u200bzero",
         "I\u0130\u0131"
     };
-    private static final int MOST_PRINTED = 6000;
-    private static final String[] KINDS = {"prefill", "decode", "beide", "вид", "kind 4", "\uD83D\uDDA5"};
+    private static final int MAX_PRINTED_CHARS = 6000;
+    private static final String[] KIND_NAMES = {"prefill", "decode", "beide", "вид", "kind 4", "\uD83D\uDDA5"};
 
     /** Draws a valid configuration; the same seed gives the same configuration. */
     public static GeneratedSettings draw(long seed) {
-        return new Draw(new SplittableRandom(seed)).configuration(seed);
+        return new Generator(new SplittableRandom(seed)).configuration(seed);
     }
 
     /** Draws the configuration of the seed and replaces one value by an invalid one. */
-    public static GeneratedSettings spoilt(long seed) {
-        GeneratedSettings whole = draw(seed);
+    public static GeneratedSettings drawInvalid(long seed) {
+        GeneratedSettings valid = draw(seed);
         SplittableRandom random = new SplittableRandom(~seed);
-        String[] spoil = SPOILS[random.nextInt(SPOILS.length)];
-        String path = spoil[0];
-        Object value = Json.GSON.fromJson(spoil[1], Object.class);
+        String[] row = INVALID_VALUES[random.nextInt(INVALID_VALUES.length)];
+        String path = row[0];
+        Object value = Json.GSON.fromJson(row[1], Object.class);
         List<String> keys = new ArrayList<>(List.of(path.split("\\.")));
-        String last = keys.remove(keys.size() - 1);
-        if (last.equals("role_by_kind")) {
-            whole.settings().put("kinds", new ArrayList<>(List.of(KINDS))); // role_by_kind is ignored unless kinds are listed
+        String lastKey = keys.remove(keys.size() - 1);
+        if (lastKey.equals("role_by_kind")) {
+            valid.settings()
+                    .put(
+                            "kinds",
+                            new ArrayList<>(List.of(KIND_NAMES))); // role_by_kind is ignored unless kinds are listed
         }
-        Object at = whole.root;
+        Object parent = valid.root;
         for (String key : keys) {
-            at = child(at, key);
+            parent = child(parent, key);
         }
-        if (at instanceof List<?> list) {
-            set(list, Integer.parseInt(last), value);
+        if (parent instanceof List<?> list) {
+            set(list, Integer.parseInt(lastKey), value);
         } else {
-            object(at).put(last, value);
+            asObject(parent).put(lastKey, value);
         }
-        return new GeneratedSettings(seed, whole.root, spoil[2]);
+        return new GeneratedSettings(seed, valid.root, row[2]);
     }
 
     /** Each row: path of the value, the invalid JSON value, and the key that the error message must name. */
-    private static final String[][] SPOILS = {
+    private static final String[][] INVALID_VALUES = {
         {"settings.services.0.promise_s", "-1", "promise_s"},
         {"settings.services.0.promise_s", "\"1\"", "promise_s"},
         {"settings.services.0.promise_s", "null", "promise_s"},
@@ -178,10 +181,10 @@
         {"control", "\"127.0.0.1\"", "control"}
     };
 
-    private static Object child(Object at, String key) {
-        return at instanceof List<?> list
+    private static Object child(Object parent, String key) {
+        return parent instanceof List<?> list
                 ? list.get(Integer.parseInt(key))
-                : object(at).computeIfAbsent(key, k -> new LinkedHashMap<>());
+                : asObject(parent).computeIfAbsent(key, k -> new LinkedHashMap<>());
     }
 
     @SuppressWarnings("unchecked")
@@ -190,12 +193,12 @@
     }
 
     @SuppressWarnings("unchecked")
-    private static Map<String, Object> object(Object value) {
+    private static Map<String, Object> asObject(Object value) {
         return (Map<String, Object>) value;
     }
 
     public Map<String, Object> settings() {
-        return object(root.get("settings"));
+        return asObject(root.get("settings"));
     }
 
     /** The text of the file, with numbers in varying JSON notations such as 10, 10.0, 10e0 and 1E+1. */
@@ -207,11 +210,13 @@
 
     private static void write(StringBuilder text, Object value, SplittableRandom random) {
         if (value instanceof Map<?, ?> map) {
-            String before = "{";
-            for (Map.Entry<?, ?> e : map.entrySet()) {
-                text.append(before).append(Json.GSON.toJson(e.getKey())).append(random.nextInt(9) == 0 ? " : " : ":");
-                write(text, e.getValue(), random);
-                before = random.nextInt(9) == 0 ? " ,\n" : ",";
+            String separator = "{";
+            for (Map.Entry<?, ?> entry : map.entrySet()) {
+                text.append(separator)
+                        .append(Json.GSON.toJson(entry.getKey()))
+                        .append(random.nextInt(9) == 0 ? " : " : ":");
+                write(text, entry.getValue(), random);
+                separator = random.nextInt(9) == 0 ? " ,\n" : ",";
             }
             text.append(map.isEmpty() ? "{}" : "}");
         } else if (value instanceof List<?> list) {
@@ -222,7 +227,7 @@
             }
             text.append(']');
         } else if (value instanceof Number n && Double.isFinite(n.doubleValue())) {
-            text.append(number(n.doubleValue(), random.nextInt(6)));
+            text.append(formatNumber(n.doubleValue(), random.nextInt(6)));
         } else if (value instanceof Number) {
             text.append("1e999");
         } else {
@@ -230,110 +235,118 @@
         }
     }
 
-    private static String number(double n, int form) {
-        boolean whole = n == Math.rint(n) && Math.abs(n) < 1e15;
-        return switch (form) {
-            case 0 -> whole ? (long) n + "e0" : Double.toString(n);
-            case 1 -> whole ? (long) n + ".0" : new BigDecimal(n).toPlainString();
+    private static String formatNumber(double value, int notation) {
+        boolean isInteger = value == Math.rint(value) && Math.abs(value) < 1e15;
+        return switch (notation) {
+            case 0 -> isInteger ? (long) value + "e0" : Double.toString(value);
+            case 1 -> isInteger ? (long) value + ".0" : new BigDecimal(value).toPlainString();
             case 2 ->
-                whole && n % 10 == 0 && n != 0
-                        ? (long) n / 10 + "E+1"
-                        : whole ? Long.toString((long) n) : Double.toString(n);
-            default -> whole ? Long.toString((long) n) : Double.toString(n);
+                isInteger && value % 10 == 0 && value != 0
+                        ? (long) value / 10 + "E+1"
+                        : isInteger ? Long.toString((long) value) : Double.toString(value);
+            default -> isInteger ? Long.toString((long) value) : Double.toString(value);
         };
     }
 
     /** Draws the parts of a configuration in a fixed order, as each draw depends on those before. */
-    private static final class Draw {
+    private static final class Generator {
         private final SplittableRandom random;
 
-        Draw(SplittableRandom random) {
+        Generator(SplittableRandom random) {
             this.random = random;
         }
 
         GeneratedSettings configuration(long seed) {
             Map<String, Object> root = new LinkedHashMap<>();
-            put(root, "name", name(), 0.8);
+            maybePut(root, "name", nodeName(), 0.8);
             root.put("listen", "127.0.0.1:3000");
             root.put("discovery", "127.0.0.1:8500");
-            put(
+            maybePut(
                     root,
                     "seed",
                     random.nextBoolean()
                             ? String.format(Locale.ROOT, "%016x", random.nextLong())
-                            : any(0, 1, 4294967296.0),
+                            : anyOf(0, 1, 4294967296.0),
                     0.8);
             if (random.nextInt(4) > 0) {
                 Map<String, Object> limits = new LinkedHashMap<>();
-                put(limits, "cores", any(0.1, 0.5, 1, 2, 64), 0.7);
-                put(limits, "memory_mb", any(16, 64, 160, 192, 187.5, 2048, 1048576, 4e6), 0.7);
-                put(limits, "sockets", any(256, 257, 512, 1024, 4096, 1048576, 1073741816), 0.7);
-                unknown(limits);
+                maybePut(limits, "cores", anyOf(0.1, 0.5, 1, 2, 64), 0.7);
+                maybePut(limits, "memory_mb", anyOf(16, 64, 160, 192, 187.5, 2048, 1048576, 4e6), 0.7);
+                maybePut(limits, "sockets", anyOf(256, 257, 512, 1024, 4096, 1048576, 1073741816), 0.7);
+                maybePutUnknownKey(limits);
                 root.put("limits", limits);
             }
             root.put("settings", settings());
-            put(root, "known", known(object(root.get("settings"))), 0.3);
-            unknown(root);
+            maybePut(root, "known", knownServers(asObject(root.get("settings"))), 0.3);
+            maybePutUnknownKey(root);
             return new GeneratedSettings(seed, root, null);
         }
 
         private Map<String, Object> settings() {
-            Map<String, Object> s = new LinkedHashMap<>();
-            int balancers = (int) any(1, 1, 2, 3, 5, 10, 30, 100);
-            s.put("balancers", (double) balancers);
-            put(s, "self_index", (double) pick(0, balancers - 1, random.nextInt(balancers)), 0.8);
+            Map<String, Object> settings = new LinkedHashMap<>();
+            int balancers = (int) anyOf(1, 1, 2, 3, 5, 10, 30, 100);
+            settings.put("balancers", (double) balancers);
+            maybePut(settings, "self_index", (double) pick(0, balancers - 1, random.nextInt(balancers)), 0.8);
             List<Object> zones = new ArrayList<>(List.of("a", "zone b", "зона").subList(0, random.nextInt(4)));
-            put(s, "zones", zones, 0.8);
-            put(s, "zone", zones.isEmpty() ? "a" : zones.get(random.nextInt(zones.size())), 0.8);
+            maybePut(settings, "zones", zones, 0.8);
+            maybePut(settings, "zone", zones.isEmpty() ? "a" : zones.get(random.nextInt(zones.size())), 0.8);
             List<Object> services = services();
-            s.put("services", services);
-            put(s, "customers", customers(), 0.6);
+            settings.put("services", services);
+            maybePut(settings, "customers", customers(), 0.6);
             List<Object> roles = roles();
             if (!roles.isEmpty()) {
-                s.put("kinds", new ArrayList<Object>(List.of(KINDS).subList(0, roles.size())));
+                settings.put("kinds", new ArrayList<Object>(List.of(KIND_NAMES).subList(0, roles.size())));
             }
-            put(s, "discovery", pick("automatic", "subscribe"), 0.7);
-            put(s, "family", "twostage", 0.8);
-            put(s, "layer", 0.0, 0.5);
-            put(s, "stages", List.of("fleet"), 0.5);
-            put(s, "tick_s", 0.002, 0.5);
-            put(s, "weight_source", pick("off", "nominal", "rough", "live"), 0.5);
-            put(s, "counted_by", pick("request", "work"), 0.5);
-            put(s, "over_share_worth", any(0, 0.1, 1), 0.5);
-            put(s, "goal", Map.of("whole", 0.7, "worst_class", 0.2), 0.5);
-            put(s, "clients", Map.of("marks_retry", random.nextBoolean()), 0.5);
-            put(s, "penalties", probePrice(), 0.6);
-            boolean localRead = roles.equals(List.of("write")) || random.nextInt(3) == 0;
-            s.put("limits", limits(localRead || roles.isEmpty() || roles.contains("both")));
-            put(s, "rules", rules(), 0.8);
-            put(s, "report", report(), 0.7);
+            maybePut(settings, "discovery", pick("automatic", "subscribe"), 0.7);
+            maybePut(settings, "family", "twostage", 0.8);
+            maybePut(settings, "layer", 0.0, 0.5);
+            maybePut(settings, "stages", List.of("fleet"), 0.5);
+            maybePut(settings, "tick_s", 0.002, 0.5);
+            maybePut(settings, "weight_source", pick("off", "nominal", "rough", "live"), 0.5);
+            maybePut(settings, "counted_by", pick("request", "work"), 0.5);
+            maybePut(settings, "over_share_worth", anyOf(0, 0.1, 1), 0.5);
+            maybePut(settings, "goal", Map.of("whole", 0.7, "worst_class", 0.2), 0.5);
+            maybePut(settings, "clients", Map.of("marks_retry", random.nextBoolean()), 0.5);
+            maybePut(settings, "penalties", penalties(), 0.6);
+            boolean writersRead = roles.equals(List.of("write")) || random.nextInt(3) == 0;
+            settings.put("limits", limits(writersRead || roles.isEmpty() || roles.contains("both")));
+            maybePut(settings, "rules", rules(), 0.8);
+            maybePut(settings, "report", report(), 0.7);
             Map<String, Object> extra = extra(roles, services.size());
-            extra.put("local_read", localRead);
-            s.put("extra", extra);
-            unknown(s);
-            return s;
+            extra.put("local_read", writersRead);
+            settings.put("extra", extra);
+            maybePutUnknownKey(settings);
+            return settings;
         }
 
         private List<Object> services() {
             int count = pick(1, 2, 3, 10);
-            List<String> names = new ArrayList<>(List.of(NAMES));
-            boolean equal = random.nextInt(4) == 0;
-            int noDroppable = random.nextInt(4); // 0: all classes have the same worth and the same promise_s
+            List<String> names = new ArrayList<>(List.of(CLASS_NAMES));
+            boolean equalWorth = random.nextInt(4) == 0;
+            int classVariation = random.nextInt(4); // 0: all classes have the same worth and the same promise_s
             List<Object> services = new ArrayList<>();
             for (int i = 0; i < count; i++) {
-                Map<String, Object> c = new LinkedHashMap<>();
-                c.put("name", names.remove(random.nextInt(names.size())));
-                c.put("promise_s", noDroppable == 0 ? 1.5 : any(0, 0.05, 0.3, 1, 1.5, 3, 60, 3600, 1e6));
-                put(c, "give_up_s", any(0, 0.3, 0.7, 1, 2, 3, 6, 15, 120, 3600, 86400), 0.85);
-                c.put("semantics", pick("safe", "keyed", "unsafe"));
-                put(c, "group", pick("all", "zone", "cell"), c.get("semantics").equals("keyed") ? 0.8 : 0.2);
-                put(c, "window_s", any(0, 0.001, 0.05, 1, 5, 600, 1e9), 0.7);
-                put(c, "worth", equal || noDroppable == 0 ? 2.0 : any(0, 1e-6, 0.5, 1, 2, 3, 1e6), 0.9);
-                put(c, "late_share", any(0, 0.1, 1), 0.7);
-                put(c, "stream", random.nextInt(4) > 0, 0.8);
-                put(c, "aim_stretch", any(0, 0.5, 4), 0.3);
-                unknown(c);
-                services.add(c);
+                Map<String, Object> service = new LinkedHashMap<>();
+                service.put("name", names.remove(random.nextInt(names.size())));
+                service.put("promise_s", classVariation == 0 ? 1.5 : anyOf(0, 0.05, 0.3, 1, 1.5, 3, 60, 3600, 1e6));
+                maybePut(service, "give_up_s", anyOf(0, 0.3, 0.7, 1, 2, 3, 6, 15, 120, 3600, 86400), 0.85);
+                service.put("semantics", pick("safe", "keyed", "unsafe"));
+                maybePut(
+                        service,
+                        "group",
+                        pick("all", "zone", "cell"),
+                        service.get("semantics").equals("keyed") ? 0.8 : 0.2);
+                maybePut(service, "window_s", anyOf(0, 0.001, 0.05, 1, 5, 600, 1e9), 0.7);
+                maybePut(
+                        service,
+                        "worth",
+                        equalWorth || classVariation == 0 ? 2.0 : anyOf(0, 1e-6, 0.5, 1, 2, 3, 1e6),
+                        0.9);
+                maybePut(service, "late_share", anyOf(0, 0.1, 1), 0.7);
+                maybePut(service, "stream", random.nextInt(4) > 0, 0.8);
+                maybePut(service, "aim_stretch", anyOf(0, 0.5, 4), 0.3);
+                maybePutUnknownKey(service);
+                services.add(service);
             }
             return services;
         }
@@ -341,11 +354,11 @@
         private List<Object> customers() {
             List<Object> customers = new ArrayList<>();
             for (int i = random.nextInt(5); i > 0; i--) {
-                Map<String, Object> c = new LinkedHashMap<>();
-                c.put("name", pick("t", "Überall AG", "客", "a b", "t" + i));
-                put(c, "share", any(0, 0.01, 0.5, 1), 0.7);
-                put(c, "quota_per_s", any(0, 0.01, 5, 1e9), 0.7);
-                customers.add(c);
+                Map<String, Object> customer = new LinkedHashMap<>();
+                customer.put("name", pick("t", "Überall AG", "客", "a b", "t" + i));
+                maybePut(customer, "share", anyOf(0, 0.01, 0.5, 1), 0.7);
+                maybePut(customer, "quota_per_s", anyOf(0, 0.01, 5, 1e9), 0.7);
+                customers.add(customer);
             }
             return customers;
         }
@@ -362,152 +375,157 @@
             };
         }
 
-        private Object probePrice() {
+        private Object penalties() {
             Map<String, Object> penalties = new LinkedHashMap<>();
-            put(penalties, "probe", any(0, 1e-9, 0.0024, 1, 1e6), 0.7);
-            put(penalties, "waste", 0.08, 0.5);
-            unknown(penalties);
+            maybePut(penalties, "probe", anyOf(0, 1e-9, 0.0024, 1, 1e6), 0.7);
+            maybePut(penalties, "waste", 0.08, 0.5);
+            maybePutUnknownKey(penalties);
             return penalties;
         }
 
         /** {@code oneAttemptSuffices}: a request can be served by a single attempt, so {@code send_cap} may be 1. */
-        private Map<String, Object> limits(boolean one) {
-            Map<String, Object> l = new LinkedHashMap<>();
-            l.put("send_cap", one ? any(1, 2, 3, 4, 8) : any(2, 3, 4, 8));
-            put(l, "cancel", random.nextInt(3) > 0, 0.8);
-            put(l, "probing", random.nextInt(3) > 0, 0.8);
-            put(l, "retry_after", random.nextInt(3) > 0, 0.8);
-            put(l, "max_retry_after_s", any(0, 0.001, 2, 3600), 0.8);
-            put(l, "second_copies", random.nextBoolean(), 0.7);
-            put(l, "peer_messages", false, 0.5);
-            put(l, "conn_idle_s", any(0.05, 0.2, 1, 30, 3600, 1e7), 0.8);
-            put(l, "connect_timeout_s", any(0.02, 0.1, 0.25, 1, 5, 60), 0.8);
-            put(l, "multiplex", any(1, 100), 0.5);
-            put(l, "open_cap", any(1, 20000), 0.5);
-            put(l, "cpu_us_per_s", 500000.0, 0.5);
-            unknown(l);
-            return l;
+        private Map<String, Object> limits(boolean oneAttemptSuffices) {
+            Map<String, Object> limits = new LinkedHashMap<>();
+            limits.put("send_cap", oneAttemptSuffices ? anyOf(1, 2, 3, 4, 8) : anyOf(2, 3, 4, 8));
+            maybePut(limits, "cancel", random.nextInt(3) > 0, 0.8);
+            maybePut(limits, "probing", random.nextInt(3) > 0, 0.8);
+            maybePut(limits, "retry_after", random.nextInt(3) > 0, 0.8);
+            maybePut(limits, "max_retry_after_s", anyOf(0, 0.001, 2, 3600), 0.8);
+            maybePut(limits, "second_copies", random.nextBoolean(), 0.7);
+            maybePut(limits, "peer_messages", false, 0.5);
+            maybePut(limits, "conn_idle_s", anyOf(0.05, 0.2, 1, 30, 3600, 1e7), 0.8);
+            maybePut(limits, "connect_timeout_s", anyOf(0.02, 0.1, 0.25, 1, 5, 60), 0.8);
+            maybePut(limits, "multiplex", anyOf(1, 100), 0.5);
+            maybePut(limits, "open_cap", anyOf(1, 20000), 0.5);
+            maybePut(limits, "cpu_us_per_s", 500000.0, 0.5);
+            maybePutUnknownKey(limits);
+            return limits;
         }
 
         private Map<String, Object> rules() {
-            Map<String, Object> r = new LinkedHashMap<>();
-            put(r, "cold_from", any(0, 0.01, 0.28, 1), 0.8);
-            put(r, "fall_multiple", any(0, 0.01, 1, 3, 1e6), 0.8);
-            put(r, "fall_s", any(0, 0.01, 2, 3600), 0.8);
-            put(r, "warm_within_s", any(0, 0.01, 13, 1e6), 0.8);
-            put(r, "drain_grace_s", any(0, 0.05, 1, 60), 0.8);
-            put(r, "ask_within_s", any(0, 0.001, 0.2, 10, 86400), 0.8);
-            put(r, "answer_slack_s", any(0, 0.008), 0.6);
-            unknown(r);
-            return r;
+            Map<String, Object> rules = new LinkedHashMap<>();
+            maybePut(rules, "cold_from", anyOf(0, 0.01, 0.28, 1), 0.8);
+            maybePut(rules, "fall_multiple", anyOf(0, 0.01, 1, 3, 1e6), 0.8);
+            maybePut(rules, "fall_s", anyOf(0, 0.01, 2, 3600), 0.8);
+            maybePut(rules, "warm_within_s", anyOf(0, 0.01, 13, 1e6), 0.8);
+            maybePut(rules, "drain_grace_s", anyOf(0, 0.05, 1, 60), 0.8);
+            maybePut(rules, "ask_within_s", anyOf(0, 0.001, 0.2, 10, 86400), 0.8);
+            maybePut(rules, "answer_slack_s", anyOf(0, 0.008), 0.6);
+            maybePutUnknownKey(rules);
+            return rules;
         }
 
         private Map<String, Object> report() {
-            Map<String, Object> r = new LinkedHashMap<>();
-            put(r, "via", pick("inline", "on_probe", "off"), 0.9);
+            Map<String, Object> report = new LinkedHashMap<>();
+            maybePut(report, "via", pick("inline", "on_probe", "off"), 0.9);
             List<Object> fields = new ArrayList<>();
             for (String field : List.of("active", "waiting", "cpu", "avg_ms", "rps", "err_rps", "x0", "x1")) {
                 if (fields.size() < 4 && random.nextInt(3) == 0) {
                     fields.add(field);
                 }
             }
-            put(r, "fields", fields, 0.9);
-            unknown(r);
-            return r;
+            maybePut(report, "fields", fields, 0.9);
+            maybePutUnknownKey(report);
+            return report;
         }
 
         private Map<String, Object> extra(List<Object> roles, int classes) {
-            Map<String, Object> e = new LinkedHashMap<>();
+            Map<String, Object> extra = new LinkedHashMap<>();
             if (!roles.isEmpty()) {
-                e.put("role_by_kind", new ArrayList<>(roles));
+                extra.put("role_by_kind", new ArrayList<>(roles));
             }
-            put(e, "release_s", any(0, 0.05, 0.35, 1, 60, 1e6), 0.8);
-            put(e, "resume", random.nextBoolean(), 0.8);
-            put(e, "ahead", random.nextBoolean(), 0.5);
-            put(e, "cross_cell_price", any(0, 0.03), 0.5);
-            put(e, "report_x0", pick("share of memory that is held", "Anteil belegten Speichers"), 0.6);
-            put(e, "report_x1", "thousands of prompt tokens waiting to be read or fetched", 0.6);
-            put(e, "memory_tokens", numbers(random.nextInt(roles.size() + 1), 0, 1, 142841, 1e9), 0.6);
-            put(e, "token_aim_s", numbers(classes, 0.02, 0.06), 0.6);
-            put(e, "aim_us_per_1000_prompt_tokens", numbers(random.nextInt(classes + 2), 0, 800, 40000, 1e12), 0.7);
-            unknown(e);
-            return e;
+            maybePut(extra, "release_s", anyOf(0, 0.05, 0.35, 1, 60, 1e6), 0.8);
+            maybePut(extra, "resume", random.nextBoolean(), 0.8);
+            maybePut(extra, "ahead", random.nextBoolean(), 0.5);
+            maybePut(extra, "cross_cell_price", anyOf(0, 0.03), 0.5);
+            maybePut(extra, "report_x0", pick("share of memory that is held", "Anteil belegten Speichers"), 0.6);
+            maybePut(extra, "report_x1", "thousands of prompt tokens waiting to be read or fetched", 0.6);
+            maybePut(extra, "memory_tokens", randomValues(random.nextInt(roles.size() + 1), 0, 1, 142841, 1e9), 0.6);
+            maybePut(extra, "token_aim_s", randomValues(classes, 0.02, 0.06), 0.6);
+            maybePut(
+                    extra,
+                    "aim_us_per_1000_prompt_tokens",
+                    randomValues(random.nextInt(classes + 2), 0, 800, 40000, 1e12),
+                    0.7);
+            maybePutUnknownKey(extra);
+            return extra;
         }
 
-        private Object known(Map<String, Object> settings) {
+        private Object knownServers(Map<String, Object> settings) {
             List<Object> servers = new ArrayList<>();
             for (Object kind : (List<?>) settings.getOrDefault("kinds", List.of("none"))) {
                 Map<String, Object> server = new LinkedHashMap<>();
                 server.put("id", "s-" + servers.size());
                 server.put("addr", "127.0.0.1:" + (2 + servers.size()));
-                put(server, "zone", "a", 0.7);
+                maybePut(server, "zone", "a", 0.7);
                 server.put("kind", kind);
-                put(server, "cell", (double) random.nextInt(3), 0.7);
-                put(server, "state", pick("active", "leaving"), 0.7);
-                put(server, "weight", any(0, 0.5, 1, 1e6), 0.7);
-                put(server, "started_ms", any(0, 1764660000000.0), 0.7);
+                maybePut(server, "cell", (double) random.nextInt(3), 0.7);
+                maybePut(server, "state", pick("active", "leaving"), 0.7);
+                maybePut(server, "weight", anyOf(0, 0.5, 1, 1e6), 0.7);
+                maybePut(server, "started_ms", anyOf(0, 1764660000000.0), 0.7);
                 servers.add(server);
             }
             Map<String, Object> known = new LinkedHashMap<>();
-            known.put("version", any(0, 41, 9007199254740992.0));
-            put(known, "full", true, 0.8);
+            known.put("version", anyOf(0, 41, 9007199254740992.0));
+            maybePut(known, "full", true, 0.8);
             known.put("servers", servers);
             return known;
         }
 
-        private List<Object> numbers(int count, double... of) {
-            return new ArrayList<>(
-                    IntStream.range(0, count).mapToObj(i -> (Object) any(of)).toList());
+        private List<Object> randomValues(int count, double... choices) {
+            return new ArrayList<>(IntStream.range(0, count)
+                    .mapToObj(i -> (Object) anyOf(choices))
+                    .toList());
         }
 
-        private String name() {
+        private String nodeName() {
             return pick("n3", "κόμβος 1", "a/b", "..", "n".repeat(300), "節点", "\uD83D\uDC1F", "\"");
         }
 
         /** Puts the value with this probability; otherwise omits the key, or sometimes sets it to null. */
-        private void put(Map<String, Object> at, String key, Object value, double chance) {
-            if (random.nextDouble() < chance) {
-                at.put(key, value);
+        private void maybePut(Map<String, Object> target, String key, Object value, double probability) {
+            if (random.nextDouble() < probability) {
+                target.put(key, value);
             } else if (random.nextInt(8) == 0) {
-                at.put(key, null);
+                target.put(key, null);
             }
         }
 
         /** Sometimes adds an unknown key, which must be ignored, as any release may add keys. */
-        private void unknown(Map<String, Object> at) {
+        private void maybePutUnknownKey(Map<String, Object> target) {
             if (random.nextInt(6) == 0) {
-                at.put(
+                target.put(
                         "neu-" + random.nextInt(100),
                         pick(null, "x", List.of(1.0, new ArrayList<>()), Map.of("a", Map.of()), -1.0));
             }
         }
 
-        private double any(double... of) {
-            return of[random.nextInt(of.length)];
+        private double anyOf(double... choices) {
+            return choices[random.nextInt(choices.length)];
         }
 
         @SafeVarargs
-        private <T> T pick(T... of) {
-            return of[random.nextInt(of.length)];
+        private <T> T pick(T... choices) {
+            return choices[random.nextInt(choices.length)];
         }
     }
 
     /** The names of the classes, in the settings' order. */
-    public List<String> classes() {
+    public List<String> classNames() {
         List<String> names = new ArrayList<>();
         for (Object service : (List<?>) settings().get("services")) {
-            names.add((String) object(service).get("name"));
+            names.add((String) asObject(service).get("name"));
         }
         return names;
     }
 
     /** The role of each kind; a kind without a configured role both reads and writes. Without kinds: a single kind "none". */
-    public Map<String, String> roles() {
+    public Map<String, String> roleByKind() {
         Map<String, String> roles = new LinkedHashMap<>();
-        List<?> told = (List<?>) object(settings().get("extra")).getOrDefault("role_by_kind", List.of());
+        List<?> configuredRoles = (List<?>) asObject(settings().get("extra")).getOrDefault("role_by_kind", List.of());
         List<?> kinds = (List<?>) settings().getOrDefault("kinds", List.of());
         for (int i = 0; i < kinds.size(); i++) {
-            roles.put((String) kinds.get(i), i < told.size() ? (String) told.get(i) : "both");
+            roles.put((String) kinds.get(i), i < configuredRoles.size() ? (String) configuredRoles.get(i) : "both");
         }
         return roles.isEmpty() ? Map.of("none", "both") : roles;
     }
@@ -516,6 +534,7 @@
     @Override
     public String toString() {
         String text = json();
-        return "seed " + seed + ": " + (text.length() > MOST_PRINTED ? text.substring(0, MOST_PRINTED) + "..." : text);
+        return "seed " + seed + ": "
+                + (text.length() > MAX_PRINTED_CHARS ? text.substring(0, MAX_PRINTED_CHARS) + "..." : text);
     }
 }
--- a/src/test/java/copperbeam/model/HeldRule.java
+++ b/src/test/java/copperbeam/model/HeldRule.java
@@ -9,40 +9,40 @@
  * after a server began to hold the state if that is later. Attempts that have not arrived at a running server do not count.
  */
 final class HeldRule implements Rule {
-    private static final long MORE = 300 * VirtualTime.MILLI;
+    private static final long RELEASE_SLACK_NS = 300 * VirtualTime.NANOS_PER_MS;
     /** Share of the listed servers; a process that reaches fewer may find no server to ask for a release. */
-    private static final double REACHABLE = 0.2;
+    private static final double MIN_REACHABLE_SHARE = 0.2;
 
-    private static final long LOOK = 50 * VirtualTime.MILLI;
+    private static final long REACHABILITY_CHECK_INTERVAL_NS = 50 * VirtualTime.NANOS_PER_MS;
 
     private final World world;
     private final Map<String, Long> heldSince = new HashMap<>();
-    private final Map<ModelProcess, Long> unreachableAt = new HashMap<>();
-    private long lookedAt;
+    private final Map<ModelProcess, Long> lastCutOffAt = new HashMap<>();
+    private long lastReachabilityCheckAt;
 
     HeldRule(World world) {
         this.world = world;
     }
 
     @Override
-    public void held(String requestId) {
+    public void stateHeld(String requestId) {
         heldSince.put(requestId, world.time.now());
     }
 
     @Override
-    public void letGo(String requestId) {
+    public void stateReleased(String requestId) {
         heldSince.remove(requestId);
     }
 
-    private void look(long now) {
-        List<ModelServer> listed = world.listed();
-        for (ModelProcess p : world.processes) {
-            int heard = 0;
-            for (ModelServer s : listed) {
-                heard += s.reachable(p) && !s.hung() ? 1 : 0;
+    private void checkReachability(long now) {
+        List<ModelServer> listed = world.listedServers();
+        for (ModelProcess process : world.processes) {
+            int reachableCount = 0;
+            for (ModelServer server : listed) {
+                reachableCount += server.isReachableFrom(process) && !server.isHung() ? 1 : 0;
             }
-            if (heard < REACHABLE * listed.size() || heard == 0) {
-                unreachableAt.put(p, now);
+            if (reachableCount < MIN_REACHABLE_SHARE * listed.size() || reachableCount == 0) {
+                lastCutOffAt.put(process, now);
             }
         }
     }
@@ -50,24 +50,31 @@
     @Override
     public void check() {
         long now = world.time.now();
-        if (now - lookedAt >= LOOK) {
-            lookedAt = now;
-            look(now);
+        if (now - lastReachabilityCheckAt >= REACHABILITY_CHECK_INTERVAL_NS) {
+            lastReachabilityCheckAt = now;
+            checkReachability(now);
         }
-        long within = (long) (world.settings.settings().rules().releaseS() * 1e9) + MORE + world.heldUp;
-        heldSince.keySet().removeIf(id -> !world.stateOwners.containsKey(id)); // the server that held it has stopped
-        heldSince.forEach((id, since) -> {
+        long maxHeld = (long) (world.settings.moduleSettings().rules().stateLeaseS() * 1e9)
+                + RELEASE_SLACK_NS
+                + world.maxPause;
+        heldSince
+                .keySet()
+                .removeIf(id -> !world.readStateHolders.containsKey(id)); // the server that held it has stopped
+        heldSince.forEach((id, heldFrom) -> {
             ClientRequest request = world.requests.get(id);
-            boolean out = request.attempts.stream().anyMatch(Attempt::arrivedAndOut);
+            boolean inFlight = request.attempts.stream().anyMatch(Attempt::isInFlightAtServer);
             long lastEnd = request.attempts.stream()
                     .filter(a -> a.arrivedAt >= 0)
-                    .mapToLong(a -> a.overAt)
+                    .mapToLong(a -> a.endedAt)
                     .max()
                     .orElse(0);
-            long from = Math.max(since, lastEnd);
-            boolean cutOff = unreachableAt.getOrDefault(request.process, -1L) >= from;
-            if (!out && now - from > within && !request.process.killed && !cutOff) {
-                world.broken("read state held since " + World.time(from), request, world.stateOwners.get(id));
+            long countedFrom = Math.max(heldFrom, lastEnd);
+            boolean wasCutOff = lastCutOffAt.getOrDefault(request.process, -1L) >= countedFrom;
+            if (!inFlight && now - countedFrom > maxHeld && !request.process.killed && !wasCutOff) {
+                world.reportViolation(
+                        "read state held since " + World.formatTime(countedFrom),
+                        request,
+                        world.readStateHolders.get(id));
             }
         });
     }
--- a/src/test/java/copperbeam/model/Link.java
+++ b/src/test/java/copperbeam/model/Link.java
@@ -1,63 +1,69 @@
 package copperbeam.model;
 
 import copperbeam.routing.Connector.Call;
+import copperbeam.routing.Connector.CallListener;
 import copperbeam.routing.Connector.Connection;
-import copperbeam.routing.Connector.Listener;
-import copperbeam.routing.Connector.Watcher;
+import copperbeam.routing.Connector.ConnectionListener;
 
 /** One simulated connection from a process to a server: either end may close it before the other end notices. */
 final class Link implements Connection {
     final World world;
     final ModelProcess process;
     final ModelServer server;
-    private final int life; // of the server, when the connection was opened; it changes when the server stops
-    private final Watcher watcher;
+    private final int
+            serverIncarnation; // of the server, when the connection was opened; it changes when the server stops
+    private final ConnectionListener connectionListener;
     private boolean open = true; // as the process sees it
     private boolean serverClosed;
     private boolean stalled; // data to the process was lost, so TCP delivers nothing behind it
-    private long nextAt; // earliest next delivery at the process, so that data keeps its order
-    private Exchange current;
+    private long nextDeliveryAt; // earliest next delivery at the process, so that data keeps its order
+    private Exchange currentExchange;
     private long idleSince;
 
-    Link(World world, ModelProcess process, ModelServer server, int life, Watcher watcher) {
+    Link(
+            World world,
+            ModelProcess process,
+            ModelServer server,
+            int serverIncarnation,
+            ConnectionListener connectionListener) {
         this.world = world;
         this.process = process;
         this.server = server;
-        this.life = life;
-        this.watcher = watcher;
+        this.serverIncarnation = serverIncarnation;
+        this.connectionListener = connectionListener;
         idleSince = world.time.now();
-        watchIdle();
+        scheduleIdleClose();
     }
 
     /** The server closes the connection after the idle timeout; the process sometimes learns of it only 20 ms later. */
-    private void watchIdle() {
-        long since = idleSince;
-        long limit = world.settings.connectionIdle().toNanos();
-        world.time.after(limit, () -> {
-            if (open && current == null && idleSince == since) {
+    private void scheduleIdleClose() {
+        long idleStart = idleSince;
+        long idleTimeout = world.settings.connectionIdleTimeout().toNanos();
+        world.time.runAfter(idleTimeout, () -> {
+            if (open && currentExchange == null && idleSince == idleStart) {
                 serverClosed = true;
-                resetAfter(world.random.nextInt(10) == 0 ? 20 * VirtualTime.MILLI : world.latency());
+                scheduleReset(world.random.nextInt(10) == 0 ? 20 * VirtualTime.NANOS_PER_MS : world.drawLatency());
             }
         });
     }
 
     /** The server still has its end of the connection and can be reached. */
-    boolean carries() {
-        return !serverClosed && server.life == life && server.reachable(process);
+    boolean reachesServer() {
+        return !serverClosed && server.incarnation == serverIncarnation && server.isReachableFrom(process);
     }
 
-    boolean reset() {
-        return serverClosed || server.life != life;
+    boolean isResetByServer() {
+        return serverClosed || server.incarnation != serverIncarnation;
     }
 
     /**
      * Delivers something to the process: runs the task after the network latency and after everything sent before. If
      * anything is lost on the way, nothing behind it is delivered.
      */
-    void toProcess(Runnable task) {
-        nextAt = Math.max(nextAt + 1, world.time.now() + world.latency());
-        world.time.at(nextAt, () -> {
-            if (!passes()) {
+    void sendToProcess(Runnable task) {
+        nextDeliveryAt = Math.max(nextDeliveryAt + 1, world.time.now() + world.drawLatency());
+        world.time.runAt(nextDeliveryAt, () -> {
+            if (!reachesProcess()) {
                 stalled = true;
             } else if (open && !stalled) {
                 task.run();
@@ -65,57 +71,57 @@
         });
     }
 
-    private void resetAfter(long way) {
-        nextAt = Math.max(nextAt + 1, world.time.now() + way);
-        world.time.at(nextAt, () -> {
-            if (passes()) {
-                lost();
+    private void scheduleReset(long delay) {
+        nextDeliveryAt = Math.max(nextDeliveryAt + 1, world.time.now() + delay);
+        world.time.runAt(nextDeliveryAt, () -> {
+            if (reachesProcess()) {
+                onResetReceived();
             }
         });
     }
 
-    private boolean passes() {
-        return !process.ended() && !server.vanished && !server.cutFrom.contains(process.index);
+    private boolean reachesProcess() {
+        return !process.hasEnded() && !server.networkDown && !server.partitionedFrom.contains(process.index);
     }
 
-    void toServer(Runnable task) {
-        world.time.after(world.latency(), () -> {
-            if (carries()) {
+    void sendToServer(Runnable task) {
+        world.time.runAfter(world.drawLatency(), () -> {
+            if (reachesServer()) {
                 task.run();
-            } else if (reset()) {
-                resetAfter(world.latency());
+            } else if (isResetByServer()) {
+                scheduleReset(world.drawLatency());
             }
         });
     }
 
     /** The process learns that the server's end is gone. */
-    void lost() {
+    void onResetReceived() {
         if (open) {
             open = false;
             world.links.remove(this);
-            Exchange broken = current;
-            current = null;
-            if (broken != null) {
-                broken.broken();
+            Exchange interrupted = currentExchange;
+            currentExchange = null;
+            if (interrupted != null) {
+                interrupted.onConnectionLost();
             }
-            watcher.closed(this);
+            connectionListener.closed(this);
         }
     }
 
-    void serverResets() {
+    void resetByServer() {
         serverClosed = true;
-        if (current != null) {
-            current.closedByServer();
+        if (currentExchange != null) {
+            currentExchange.onClosedByServer();
         }
-        resetAfter(world.latency());
+        scheduleReset(world.drawLatency());
     }
 
-    void done(Exchange x, boolean reusable) {
-        if (current == x) {
-            current = null;
+    void onAnswerComplete(Exchange exchange, boolean reusable) {
+        if (currentExchange == exchange) {
+            currentExchange = null;
             idleSince = world.time.now();
             if (reusable) {
-                watchIdle();
+                scheduleIdleClose();
             }
         }
     }
@@ -126,35 +132,35 @@
     }
 
     @Override
-    public void call(Call call, Listener listener) {
-        Exchange x = new Exchange(this, call, listener);
-        current = x;
-        process.reactor(world.reactorTurn(), x::leave);
+    public void call(Call call, CallListener listener) {
+        Exchange exchange = new Exchange(this, call, listener);
+        currentExchange = exchange;
+        process.runOnReactor(world.drawReactorDelay(), exchange::sendHead);
     }
 
     @Override
-    public void let() {
-        Exchange x = current;
-        if (x != null) {
-            process.reactor(world.reactorTurn(), x::lastByte);
+    public void sendLastByte() {
+        Exchange exchange = currentExchange;
+        if (exchange != null) {
+            process.runOnReactor(world.drawReactorDelay(), exchange::sendLastByte);
         }
     }
 
     @Override
     public void grant(int bytes) {
-        if (current != null) {
-            current.granted(bytes);
+        if (currentExchange != null) {
+            currentExchange.onWindowGranted(bytes);
         }
     }
 
     @Override
-    public boolean heldBack() {
-        return current != null && current.heldBack();
+    public boolean isReceiveWindowFull() {
+        return currentExchange != null && currentExchange.isReceiveWindowFull();
     }
 
     @Override
-    public void readOut(Runnable read) {
-        process.reactor(world.reactorTurn(), read);
+    public void readOut(Runnable then) {
+        process.runOnReactor(world.drawReactorDelay(), then);
     }
 
     @Override
@@ -167,32 +173,32 @@
         close(true);
     }
 
-    private void close(boolean abort) {
+    private void close(boolean withReset) {
         if (!open) {
             return;
         }
         open = false;
         world.links.remove(this);
-        Exchange cut = current;
-        current = null;
-        if (cut != null) {
-            cut.closedByProcess(abort);
+        Exchange interrupted = currentExchange;
+        currentExchange = null;
+        if (interrupted != null) {
+            interrupted.onClosedByProcess(withReset);
         }
-        process.reactor(world.reactorTurn(), () -> {
-            if (cut != null) {
-                cut.toldBroken();
+        process.runOnReactor(world.drawReactorDelay(), () -> {
+            if (interrupted != null) {
+                interrupted.notifyBroken();
             }
-            watcher.closed(this);
+            connectionListener.closed(this);
         });
     }
 
     /** The process has ended, and its end of the connection with it. */
-    void drop() {
+    void closeWithProcess() {
         open = false;
         world.links.remove(this);
-        if (current != null) {
-            current.closedByProcess(false);
-            current = null;
+        if (currentExchange != null) {
+            currentExchange.onClosedByProcess(false);
+            currentExchange = null;
         }
     }
 }
--- a/src/test/java/copperbeam/model/ModelProcess.java
+++ b/src/test/java/copperbeam/model/ModelProcess.java
@@ -25,25 +25,27 @@
     final World world;
     final int index;
     final String zone;
-    final VirtualTime.Thread thread;
+    final VirtualTime.SimulatedThread actorThread;
     private final ModuleActor module;
     private final ReleaseActor releases;
-    private final ListActor list;
-    private final Set<ModelServer> known = new LinkedHashSet<>(); // servers named in the last full list or in a change after it
-    private final Map<Long, ClientRequest> byKey = new HashMap<>(); // by the module's request number; filled only while logging
-    private final ReferencePolicy reference; // handles the requests in place of the actors if not null
+    private final ListActor listActor;
+    private final Set<ModelServer> knownServers =
+            new LinkedHashSet<>(); // servers named in the last full list or in a change after it
+    private final Map<Long, ClientRequest> requestByKey =
+            new HashMap<>(); // by the module's request number; filled only while logging
+    private final ReferencePolicy referencePolicy; // handles the requests in place of the actors if not null
     private boolean ended;
     boolean killed; // was killed, so that its open requests need no answer
-    boolean takesClients = true;
+    boolean acceptsClients = true;
 
     ModelProcess(World world, int index, String zone, long seed) {
         this.world = world;
         this.index = index;
         this.zone = zone;
-        thread = new VirtualTime.Thread(world::taskCost);
-        ScheduledExecutorService turns = world.time.executor(thread);
-        Api.Settings settings = world.settings.settings();
-        Api.Settings own = new Api.Settings(
+        actorThread = new VirtualTime.SimulatedThread(world::drawTaskDuration);
+        ScheduledExecutorService executor = world.time.executor(actorThread);
+        Api.Settings settings = world.settings.moduleSettings();
+        Api.Settings nodeSettings = new Api.Settings(
                 settings.nodes(),
                 index,
                 settings.classes(),
@@ -51,125 +53,133 @@
                 settings.kinds(),
                 settings.limits(),
                 settings.rules(),
-                settings.reports(),
-                settings.listMustBeAsked(),
-                settings.probePrice(),
+                settings.reportTiming(),
+                settings.mustSubscribe(),
+                settings.probeCost(),
                 settings.writersRead(),
-                settings.streamsResume());
-        reference = world.reference ? new ReferencePolicy(world, this) : null;
-        Metrics metrics = new Metrics(world.settings.giveUp().keySet());
-        Duration releaseWithin = ModuleTime.span(Math.max(0.2, settings.rules().releaseS()));
-        releases = new ReleaseActor(turns, world.time, releaseWithin.multipliedBy(2));
-        Recorder recorder = (what, request, attempt, server, text, span) -> {
-            if (what == Recorder.What.ARRIVED) {
-                byKey.put(request, world.requests.get(text.substring(0, text.indexOf(' '))));
+                settings.streamsResumable());
+        referencePolicy = world.usesReferencePolicy ? new ReferencePolicy(world, this) : null;
+        Metrics metrics = new Metrics(world.settings.maxClientWait().keySet());
+        Duration releaseTime =
+                ModuleTime.duration(Math.max(0.2, settings.rules().stateLeaseS()));
+        releases = new ReleaseActor(executor, world.time, releaseTime.multipliedBy(2));
+        Recorder recorder = (type, request, attempt, server, text, duration) -> {
+            if (type == Recorder.EventType.ARRIVED) {
+                requestByKey.put(request, world.requests.get(text.substring(0, text.indexOf(' '))));
             }
-            if (byKey.containsKey(request)) {
-                String more = server == null ? " " + text : " " + server + " " + text;
-                world.log(byKey.get(request), "module records " + what + " of attempt " + attempt + more);
+            if (requestByKey.containsKey(request)) {
+                String details = server == null ? " " + text : " " + server + " " + text;
+                world.log(requestByKey.get(request), "module records " + type + " of attempt " + attempt + details);
             }
         };
         module = new ModuleActor(
-                turns, world.time, own, seed, releases, world.logs() ? recorder : Recorder.NONE, metrics);
+                executor,
+                world.time,
+                nodeSettings,
+                seed,
+                releases,
+                world.isLogging() ? recorder : Recorder.NONE,
+                metrics);
         PeerActor.Setup setup = new PeerActor.Setup(
                 world.time,
                 new Network(world, this),
                 world.settings.connectTimeout(),
-                world.settings.connectionIdle().dividedBy(2),
+                world.settings.connectionIdleTimeout().dividedBy(2),
                 world.settings.connectTimeout(),
                 module,
                 releases,
-                world.logs() ? recorder : Recorder.NONE,
+                world.isLogging() ? recorder : Recorder.NONE,
                 metrics);
-        list = new ListActor(
-                turns,
-                (id, address) -> new PeerActor(turns, id, address, setup),
+        listActor = new ListActor(
+                executor,
+                (id, address) -> new PeerActor(executor, id, address, setup),
                 module,
                 releases,
-                world.settings.idle());
+                world.settings.maxIdleConnections());
     }
 
-    boolean ended() {
+    boolean hasEnded() {
         return ended;
     }
 
     /** Runs the task after a delay in nanoseconds, as the I/O thread would, unless the process has ended by then. */
-    void reactor(long after, Runnable task) {
-        world.time.after(after, () -> {
+    void runOnReactor(long delay, Runnable task) {
+        world.time.runAfter(delay, () -> {
             if (!ended) {
                 task.run();
             }
         });
     }
 
-    void tell(ListKind kind, List<ModelServer> servers) {
+    void deliverList(ListKind kind, List<ModelServer> servers) {
         List<MembershipSource.Entry> entries = servers.stream()
                 .map(s -> new MembershipSource.Entry(s.member(), new InetSocketAddress("127.0.0.1", s.port)))
                 .toList();
-        servers.forEach(s -> world.rules(r -> r.told(this, s, s.state, s.launchedAt)));
+        servers.forEach(s -> world.notifyRules(r -> r.serverListed(this, s, s.state, s.launchedAt)));
         if (kind != ListKind.DELTA) {
-            known.removeAll(servers);
-            known.forEach(s -> world.rules(r -> r.told(this, s, Api.ServerState.GONE, s.launchedAt)));
-            known.clear();
+            knownServers.removeAll(servers);
+            knownServers.forEach(
+                    s -> world.notifyRules(r -> r.serverListed(this, s, Api.ServerState.GONE, s.launchedAt)));
+            knownServers.clear();
         }
-        known.addAll(servers);
-        list.tell(new ListActor.Told(new MembershipSource.Change(kind, entries), null));
+        knownServers.addAll(servers);
+        listActor.tell(new ListActor.ListChanged(new MembershipSource.Change(kind, entries), null));
     }
 
-    void arrive(ClientRequest request) {
-        if (reference == null) {
-            module.arrive(request.ask, request);
+    void submit(ClientRequest request) {
+        if (referencePolicy == null) {
+            module.submit(request.spec, request);
         } else {
-            reference.arrive(request);
+            referencePolicy.submit(request);
         }
     }
 
-    void left(ClientRequest request) {
-        module.left(request);
+    void clientGone(ClientRequest request) {
+        module.clientGone(request);
     }
 
-    void takeNoMore() {
-        module.tell(new ModuleActor.TakeNoMore());
+    void stopAccepting() {
+        module.tell(new ModuleActor.StopAccepting());
     }
 
-    void handOver() {
-        module.tell(new ModuleActor.HandOver());
+    void expireOpenRequests() {
+        module.tell(new ModuleActor.ExpireOpenRequests());
     }
 
-    void cut() {
-        module.tell(new ModuleActor.Cut());
+    void transferStreams() {
+        module.tell(new ModuleActor.TransferStreams());
     }
 
     /** Runs {@code onIdle} once all requests and releases are done; for use when no new request can arrive. */
-    void drain(Runnable done) {
-        module.tell(new ModuleActor.Drain(() -> releases.tell(new ReleaseActor.Drain(done))));
+    void drain(Runnable onIdle) {
+        module.tell(new ModuleActor.Drain(() -> releases.tell(new ReleaseActor.Drain(onIdle))));
     }
 
     /** Ends the process, after a drain or by a kill; all its connections are dropped. */
     void end() {
         ended = true;
-        takesClients = false;
-        thread.end();
-        List.copyOf(world.links).stream().filter(l -> l.process == this).forEach(Link::drop);
+        acceptsClients = false;
+        actorThread.stop();
+        List.copyOf(world.links).stream().filter(l -> l.process == this).forEach(Link::closeWithProcess);
     }
 
     void kill() {
         killed = true;
-        world.open().stream().filter(r -> r.process == this).forEach(r -> r.excused = true);
+        world.openRequests().stream().filter(r -> r.process == this).forEach(r -> r.lostWithProcess = true);
         end();
     }
 
     /** Kills the process when the time for its stop is up: only streams may still be open by then. */
-    void killAtStop() {
-        world.open().stream()
+    void killAtStopTimeout() {
+        world.openRequests().stream()
                 .filter(r -> r.process == this && r.streamingSince < 0)
-                .forEach(r -> world.broken("no final answer by the end of the stop", r, null));
+                .forEach(r -> world.reportViolation("no final answer by the end of the stop", r, null));
         kill();
     }
 
-    void ifAlive(Consumer<ModelProcess> what) {
+    void runIfAlive(Consumer<ModelProcess> action) {
         if (!ended) {
-            what.accept(this);
+            action.accept(this);
         }
     }
 }
--- a/src/test/java/copperbeam/model/Network.java
+++ b/src/test/java/copperbeam/model/Network.java
@@ -15,26 +15,27 @@
     }
 
     @Override
-    public void connect(InetSocketAddress to, Duration timeout, Watcher watcher) {
-        ModelServer server = world.servers.get(to.getPort());
+    public void connect(InetSocketAddress address, Duration timeout, ConnectionListener listener) {
+        ModelServer server = world.servers.get(address.getPort());
         // the HTTP library checks for expired timeouts only from time to time, so a timeout may be noticed late
-        long limit = (long) (timeout.toNanos() * (1 + 1.4 * world.random.nextDouble()));
-        long late = world.random.nextDouble() < server.lateConnects ? world.lateConnect(process) : 0;
-        long after = world.latency() + late;
-        if (after > limit) {
-            process.reactor(limit, watcher::failed);
+        long timeoutNanos = (long) (timeout.toNanos() * (1 + 1.4 * world.random.nextDouble()));
+        long extraDelay = world.random.nextDouble() < server.lateConnectChance ? world.drawConnectDelay(process) : 0;
+        long delay = world.drawLatency() + extraDelay;
+        if (delay > timeoutNanos) {
+            process.runOnReactor(timeoutNanos, listener::connectFailed);
             return;
         }
-        int life = server.life;
-        world.time.after(after / 2, () -> {
-            if (!server.reachable(process)) {
-                boolean refused = !server.running && !server.vanished && !server.cutFrom.contains(process.index);
-                process.reactor(refused ? world.latency() : limit - after / 2, watcher::failed);
+        int incarnation = server.incarnation;
+        world.time.runAfter(delay / 2, () -> {
+            if (!server.isReachableFrom(process)) {
+                boolean refused =
+                        !server.running && !server.networkDown && !server.partitionedFrom.contains(process.index);
+                process.runOnReactor(refused ? world.drawLatency() : timeoutNanos - delay / 2, listener::connectFailed);
             } else {
-                process.reactor(after - after / 2, () -> {
-                    Link link = new Link(world, process, server, life, watcher);
+                process.runOnReactor(delay - delay / 2, () -> {
+                    Link link = new Link(world, process, server, incarnation, listener);
                     world.links.add(link);
-                    watcher.up(link);
+                    listener.connected(link);
                 });
             }
         });
--- a/src/test/java/copperbeam/model/ReconnectTest.java
+++ b/src/test/java/copperbeam/model/ReconnectTest.java
@@ -2,14 +2,14 @@
 
 import static org.testng.Assert.assertEquals;
 
-import copperbeam.routing.Answer;
-import copperbeam.routing.Ask;
 import copperbeam.routing.Connector;
 import copperbeam.routing.Metrics;
 import copperbeam.routing.ModuleActor;
 import copperbeam.routing.PeerActor;
 import copperbeam.routing.Recorder;
 import copperbeam.routing.ReleaseActor;
+import copperbeam.routing.RequestSpec;
+import copperbeam.routing.ResponseSink;
 import java.lang.reflect.Proxy;
 import java.net.InetSocketAddress;
 import java.time.Duration;
@@ -23,24 +23,24 @@
 public class ReconnectTest {
     private static final Duration TIMEOUT = Duration.ofMillis(250);
 
-    private final List<Connector.Watcher> watchers = new ArrayList<>();
-    private final List<Connector.Listener> listeners = new ArrayList<>();
+    private final List<Connector.ConnectionListener> connectionListeners = new ArrayList<>();
+    private final List<Connector.CallListener> callListeners = new ArrayList<>();
 
     @Test
-    public void theTimeOfAnEarlierConnectIsNotThatOfALaterOne() throws Exception {
+    public void eachConnectHasItsOwnTimeout() throws Exception {
         VirtualTime time = new VirtualTime();
-        ScheduledExecutorService turns = time.executor(new VirtualTime.Thread(() -> 0));
-        ReleaseActor releases = new ReleaseActor(turns, time, Duration.ofSeconds(2));
+        ScheduledExecutorService executor = time.executor(new VirtualTime.SimulatedThread(() -> 0));
+        ReleaseActor releases = new ReleaseActor(executor, time, Duration.ofSeconds(2));
         Metrics metrics = new Metrics(List.of("c"));
         ModuleActor module =
-                new ModuleActor(turns, time, EndedRequestTest.SETTINGS, 7, releases, Recorder.NONE, metrics);
+                new ModuleActor(executor, time, EndedRequestTest.SETTINGS, 7, releases, Recorder.NONE, metrics);
         PeerActor peer = new PeerActor(
-                turns,
+                executor,
                 "s",
                 new InetSocketAddress("127.0.0.1", 1),
                 new PeerActor.Setup(
                         time,
-                        (to, timeout, watcher) -> watchers.add(watcher),
+                        (address, timeout, listener) -> connectionListeners.add(listener),
                         TIMEOUT,
                         Duration.ofSeconds(15),
                         TIMEOUT,
@@ -48,26 +48,26 @@
                         releases,
                         Recorder.NONE,
                         metrics));
-        Instant deadline = time.instant(4 * VirtualTime.SECOND);
-        Ask ask = new Ask("id", "c", "k", null, 100, 0, 10, deadline, false, null);
+        Instant deadline = time.instant(4 * VirtualTime.NANOS_PER_S);
+        RequestSpec spec = new RequestSpec("id", "c", "k", null, 100, 0, 10, deadline, false, null);
         peer.tell(new PeerActor.Send(
-                1, 0, ask, proxy(Answer.class), deadline, Instant.MAX, Instant.MAX, true, false, () -> false));
-        time.run(VirtualTime.MILLI);
-        watchers.get(0).up(proxy(Connector.Connection.class));
-        time.run(200 * VirtualTime.MILLI);
-        listeners.get(0).broken(false);
-        time.run(300 * VirtualTime.MILLI); // past the timeout of the first connect
-        assertEquals(watchers.size(), 2);
-        watchers.get(1).up(proxy(Connector.Connection.class));
-        time.run(310 * VirtualTime.MILLI);
-        assertEquals(listeners.size(), 2, "the call must be sent on the new connection as well");
+                1, 0, spec, proxy(ResponseSink.class), deadline, Instant.MAX, Instant.MAX, true, false, () -> false));
+        time.advanceTo(VirtualTime.NANOS_PER_MS);
+        connectionListeners.get(0).connected(proxy(Connector.Connection.class));
+        time.advanceTo(200 * VirtualTime.NANOS_PER_MS);
+        callListeners.get(0).broken(false);
+        time.advanceTo(300 * VirtualTime.NANOS_PER_MS); // past the timeout of the first connect
+        assertEquals(connectionListeners.size(), 2);
+        connectionListeners.get(1).connected(proxy(Connector.Connection.class));
+        time.advanceTo(310 * VirtualTime.NANOS_PER_MS);
+        assertEquals(callListeners.size(), 2, "the call must be sent on the new connection as well");
     }
 
     private <T> T proxy(Class<T> type) {
         return type.cast(Proxy.newProxyInstance(
                 getClass().getClassLoader(), new Class<?>[] {type}, (proxy, method, args) -> {
                     if (method.getName().equals("call")) {
-                        listeners.add((Connector.Listener) args[1]);
+                        callListeners.add((Connector.CallListener) args[1]);
                     }
                     return method.getReturnType() == boolean.class
                             ? method.getName().equals("isOpen")
--- a/src/test/java/copperbeam/model/ReferencePolicy.java
+++ b/src/test/java/copperbeam/model/ReferencePolicy.java
@@ -2,9 +2,9 @@
 
 import copperbeam.Api;
 import copperbeam.Api.Report;
-import copperbeam.routing.Answer;
 import copperbeam.routing.Connector;
-import copperbeam.routing.Connector.Word;
+import copperbeam.routing.Connector.AnswerKind;
+import copperbeam.routing.ResponseSink;
 import java.net.InetSocketAddress;
 import java.time.Duration;
 import java.util.Comparator;
@@ -16,7 +16,7 @@
  * when no further attempt is allowed.
  */
 final class ReferencePolicy {
-    private static final long MARGIN = 50 * VirtualTime.MILLI;
+    private static final long DEADLINE_MARGIN_NS = 50 * VirtualTime.NANOS_PER_MS;
 
     private final World world;
     private final ModelProcess process;
@@ -28,131 +28,134 @@
         network = new Network(world, process);
     }
 
-    void arrive(ClientRequest request) {
-        Run run = new Run(request);
-        long end = world.time.nanos(request.ask.deadline()) - MARGIN;
-        process.reactor(end - world.time.now(), () -> {
-            if (request.streamingSince < 0 && !request.over()) {
-                run.stop();
-                request.fail(Answer.Failure.TOO_LATE);
+    void submit(ClientRequest request) {
+        RequestRun requestRun = new RequestRun(request);
+        long giveUpAt = world.time.toNanos(request.spec.deadline()) - DEADLINE_MARGIN_NS;
+        process.runOnReactor(giveUpAt - world.time.now(), () -> {
+            if (request.streamingSince < 0 && !request.isOver()) {
+                requestRun.closeConnection();
+                request.fail(ResponseSink.Failure.TOO_LATE);
             }
         });
-        run.next();
+        requestRun.startAttempt();
     }
 
     /** Takes one request through its attempts at readers and writers. */
-    private final class Run {
+    private final class RequestRun {
         private final ClientRequest request;
-        private int tries;
-        private boolean read;
+        private int attemptCount;
+        private boolean hasReadState;
         private Connector.Connection connection;
 
-        Run(ClientRequest request) {
+        RequestRun(ClientRequest request) {
             this.request = request;
         }
 
-        void stop() {
+        void closeConnection() {
             if (connection != null) {
                 connection.close();
             }
         }
 
-        private Optional<ModelServer> choose() {
-            Api.Settings settings = world.settings.settings();
-            boolean last = tries + 1 >= settings.limits().maxAttempts();
-            boolean direct = read || last;
-            return world.listed().stream()
-                    .filter(s -> s.state == Api.ServerState.READY && s.reachable(process) && !s.hung())
+        private Optional<ModelServer> chooseServer() {
+            Api.Settings settings = world.settings.moduleSettings();
+            boolean lastAttempt = attemptCount + 1 >= settings.limits().maxAttempts();
+            boolean mustAnswer = hasReadState || lastAttempt;
+            return world.listedServers().stream()
+                    .filter(s -> s.state == Api.ServerState.READY && s.isReachableFrom(process) && !s.isHung())
                     .filter(s -> s.faultChance < 1 || world.random.nextInt(4) == 0)
-                    .filter(s -> direct
-                            ? s.role == Api.Role.MIXED || s.role == Api.Role.WRITER && (read || settings.writersRead())
+                    .filter(s -> mustAnswer
+                            ? s.role == Api.Role.MIXED
+                                    || s.role == Api.Role.WRITER && (hasReadState || settings.writersRead())
                             : s.role != Api.Role.WRITER)
-                    .min(Comparator.comparingDouble(s -> s.trueDelayS() / s.warmth()));
+                    .min(Comparator.comparingDouble(s -> s.queueDelayS() / s.capacityShare()));
         }
 
-        void next() {
-            if (request.over() || request.streamingSince >= 0) {
+        void startAttempt() {
+            if (request.isOver() || request.streamingSince >= 0) {
                 return;
             }
             boolean unsafe =
-                    world.settings.requestClass(request.ask.requestClass()).effect() != Api.Effect.SAFE;
-            boolean ran = request.attempts.stream().anyMatch(Attempt::mayHaveRun);
-            if (tries >= world.settings.settings().limits().maxAttempts() || ran && unsafe) {
-                request.fail(Answer.Failure.SERVERS_FAILED);
+                    world.settings.requestClass(request.spec.requestClass()).repeats() != Api.Repeats.SAFE;
+            boolean mayHaveRun = request.attempts.stream().anyMatch(Attempt::mayHaveRun);
+            if (attemptCount >= world.settings.moduleSettings().limits().maxAttempts() || mayHaveRun && unsafe) {
+                request.fail(ResponseSink.Failure.SERVERS_FAILED);
                 return;
             }
-            Optional<ModelServer> server = choose();
+            Optional<ModelServer> server = chooseServer();
             if (server.isEmpty()) {
-                process.reactor(20 * VirtualTime.MILLI, this::next);
+                process.runOnReactor(20 * VirtualTime.NANOS_PER_MS, this::startAttempt);
                 return;
             }
-            tries++;
+            attemptCount++;
             Duration timeout = world.settings.connectTimeout();
-            network.connect(new InetSocketAddress("127.0.0.1", server.get().port), timeout, new Connector.Watcher() {
-                @Override
-                public void up(Connector.Connection up) {
-                    if (request.over()) {
-                        up.close();
-                    } else {
-                        connection = up;
-                        call(up, server.get().role == Api.Role.READER);
-                    }
-                }
-
-                @Override
-                public void failed() {
-                    next();
-                }
-
-                @Override
-                public void closed(Connector.Connection closed) {}
-            });
+            network.connect(
+                    new InetSocketAddress("127.0.0.1", server.get().port), timeout, new Connector.ConnectionListener() {
+                        @Override
+                        public void connected(Connector.Connection opened) {
+                            if (request.isOver()) {
+                                opened.close();
+                            } else {
+                                connection = opened;
+                                sendAttempt(opened, server.get().role == Api.Role.READER);
+                            }
+                        }
+
+                        @Override
+                        public void connectFailed() {
+                            startAttempt();
+                        }
+
+                        @Override
+                        public void closed(Connector.Connection closed) {}
+                    });
         }
 
-        private void call(Connector.Connection up, boolean reads) {
-            Duration left = Duration.between(world.time.instant(), request.ask.deadline());
-            Connector.Call call =
-                    new Connector.AttemptCall(request.ask, reads, () -> left, false, () -> true, () -> !request.over());
-            up.call(call, new Connector.Listener() {
-                private Word word;
+        private void sendAttempt(Connector.Connection opened, boolean reads) {
+            Duration remaining = Duration.between(world.time.instant(), request.spec.deadline());
+            Connector.Call call = new Connector.AttemptCall(
+                    request.spec, reads, () -> remaining, false, () -> true, () -> !request.isOver());
+            opened.call(call, new Connector.CallListener() {
+                private AnswerKind answerKind;
 
                 @Override
                 public void sent() {}
 
                 @Override
-                public void held() {}
+                public void lastByteHeld() {}
 
                 @Override
-                public void word(Word heard, Report report) {
-                    word = heard;
-                    if (heard == Word.STREAM && !request.over()) {
+                public void answerClassified(AnswerKind kind, Report report) {
+                    answerKind = kind;
+                    if (kind == AnswerKind.STREAM && !request.isOver()) {
                         request.begin();
                     }
                 }
 
                 @Override
-                public void event(byte[] raw) {
-                    request.event(raw, () -> up.grant(raw.length));
+                public void event(byte[] eventBytes) {
+                    request.event(eventBytes, () -> opened.grant(eventBytes.length));
                 }
 
                 @Override
-                public void end(boolean reusable, double kept) {
-                    up.close();
-                    if (word == Word.STREAM && !request.over()) {
+                public void end(boolean reusable, double keptTokens) {
+                    opened.close();
+                    if (answerKind == AnswerKind.STREAM && !request.isOver()) {
                         request.end();
                     } else {
-                        read = word == Word.READ || read && word != Word.STATE_MISSING;
-                        next();
+                        hasReadState =
+                                answerKind == AnswerKind.READ || hasReadState && answerKind != AnswerKind.STATE_MISSING;
+                        startAttempt();
                     }
                 }
 
                 @Override
-                public void broken(boolean written) {
-                    up.close();
-                    if (word == Word.STREAM && !request.over()) {
+                public void broken(boolean lastByteMayHaveLeft) {
+                    opened.close();
+                    if (answerKind == AnswerKind.STREAM && !request.isOver()) {
                         request.broken();
                     } else {
-                        next();
+                        startAttempt();
                     }
                 }
             });
--- a/src/test/java/copperbeam/model/ServiceTest.java
+++ b/src/test/java/copperbeam/model/ServiceTest.java
@@ -18,93 +18,100 @@
  * of the class's requests with the longest prompts.
  */
 public class ServiceTest {
-    private static final int WORLDS = Integer.getInteger("model.worlds", 60);
-    private static final long FROM = Long.getLong("model.from", 1);
-    private static final double LEAST = 0.5; // lower bound, as a fraction of the reference's share
-    private static final int ENOUGH = 100; // fewer requests are too few to compare shares
-    private static final int ENOUGH_LONG = 40; // the same for the tenth with the longest prompts
-    private static final Logger ROUTING = Logger.getLogger("copperbeam.routing");
+    private static final int WORLD_COUNT = Integer.getInteger("model.worlds", 60);
+    private static final long FIRST_SEED = Long.getLong("model.from", 1);
+    private static final double MIN_SHARE_OF_REFERENCE = 0.5; // lower bound, as a fraction of the reference's share
+    private static final int MIN_REQUESTS = 100; // fewer requests are too few to compare shares
+    private static final int MIN_LONG_REQUESTS = 40; // the same for the tenth with the longest prompts
+    private static final Logger ROUTING_LOG = Logger.getLogger("copperbeam.routing");
 
-    private record Share(int requests, double served) {
-        static Share of(List<ClientRequest> requests) {
-            long served = requests.stream()
-                    .filter(r -> r.ending == ClientRequest.Final.SERVED)
+    private record ServedShare(int requestCount, double servedShare) {
+        static ServedShare of(List<ClientRequest> requests) {
+            long servedCount = requests.stream()
+                    .filter(r -> r.outcome == ClientRequest.Outcome.SERVED)
                     .count();
-            return new Share(requests.size(), served / (double) Math.max(1, requests.size()));
+            return new ServedShare(requests.size(), servedCount / (double) Math.max(1, requests.size()));
         }
     }
 
     @BeforeClass
-    public void quiet() {
-        ROUTING.setLevel(Level.WARNING);
+    public void silenceLog() {
+        ROUTING_LOG.setLevel(Level.WARNING);
     }
 
     @AfterClass
-    public void aloud() {
-        ROUTING.setLevel(null);
+    public void restoreLog() {
+        ROUTING_LOG.setLevel(null);
     }
 
     @Test
     public void eachClassIsServed() throws Exception {
-        List<String> starved = new ArrayList<>();
-        for (long seed = FROM; seed < FROM + WORLDS; seed++) {
-            World program = play(seed, false);
-            World reference = play(seed, true);
-            for (var c : program.settings.settings().classes()) {
-                compare(seed, c.name(), ENOUGH, first(program, c.name()), first(reference, c.name()), starved);
-                compare(
+        List<String> underserved = new ArrayList<>();
+        for (long seed = FIRST_SEED; seed < FIRST_SEED + WORLD_COUNT; seed++) {
+            World program = run(seed, false);
+            World reference = run(seed, true);
+            for (var requestClass : program.settings.moduleSettings().classes()) {
+                checkShare(
                         seed,
-                        c.name() + ", longest tenth",
-                        ENOUGH_LONG,
-                        longest(first(program, c.name())),
-                        longest(first(reference, c.name())),
-                        starved);
+                        requestClass.name(),
+                        MIN_REQUESTS,
+                        firstTries(program, requestClass.name()),
+                        firstTries(reference, requestClass.name()),
+                        underserved);
+                checkShare(
+                        seed,
+                        requestClass.name() + ", longest tenth",
+                        MIN_LONG_REQUESTS,
+                        longestTenth(firstTries(program, requestClass.name())),
+                        longestTenth(firstTries(reference, requestClass.name())),
+                        underserved);
             }
         }
-        assertEquals(starved.size(), 0, "of " + WORLDS + " worlds:\n" + String.join("\n", starved) + "\n");
+        assertEquals(underserved.size(), 0, "of " + WORLD_COUNT + " worlds:\n" + String.join("\n", underserved) + "\n");
     }
 
-    private static World play(long seed, boolean reference) throws Exception {
-        World world =
-                new World(seed, ModelTest.processes(seed), new DrawnSettings(), World.Load.USUAL, false, reference);
-        world.play();
+    private static World run(long seed, boolean usesReferencePolicy) throws Exception {
+        World world = new World(
+                seed, ModelTest.processCount(seed), new DrawnSettings(), World.Load.USUAL, false, usesReferencePolicy);
+        world.run();
         return world;
     }
 
     /** First tries (no client retries) whose client stayed connected and whose process was not killed. */
-    private static List<ClientRequest> first(World world, String requestClass) {
+    private static List<ClientRequest> firstTries(World world, String requestClass) {
         return world.requests.values().stream()
-                .filter(r -> r.ask.requestClass().equals(requestClass) && r.retries == 0)
-                .filter(r -> r.leftAt < 0 && !r.excused)
+                .filter(r -> r.spec.requestClass().equals(requestClass) && r.retryCount == 0)
+                .filter(r -> r.clientGoneAt < 0 && !r.lostWithProcess)
                 .toList();
     }
 
-    private static List<ClientRequest> longest(List<ClientRequest> requests) {
+    private static List<ClientRequest> longestTenth(List<ClientRequest> requests) {
         return requests.stream()
-                .sorted(Comparator.comparingDouble((ClientRequest r) -> -r.ask.promptTokens()))
+                .sorted(Comparator.comparingDouble((ClientRequest r) -> -r.spec.promptTokens()))
                 .limit(requests.size() / 10)
                 .toList();
     }
 
-    private static void compare(
+    private static void checkShare(
             long seed,
-            String what,
-            int enough,
+            String group,
+            int minRequests,
             List<ClientRequest> program,
             List<ClientRequest> reference,
-            List<String> starved) {
-        Share own = Share.of(program);
-        Share other = Share.of(reference);
-        if (Math.min(own.requests, other.requests) >= enough && own.served < LEAST * other.served) {
-            starved.add(String.format(
+            List<String> underserved) {
+        ServedShare programShare = ServedShare.of(program);
+        ServedShare referenceShare = ServedShare.of(reference);
+        if (Math.min(programShare.requestCount, referenceShare.requestCount) >= minRequests
+                && programShare.servedShare < MIN_SHARE_OF_REFERENCE * referenceShare.servedShare) {
+            underserved.add(String.format(
                     Locale.ROOT,
                     "seed %d, %s: served a share of %.2f of %d requests, the reference %.2f of %d",
                     seed,
-                    what,
-                    own.served,
-                    own.requests,
-                    other.served,
-                    other.requests));
+                    group,
+                    programShare.servedShare,
+                    programShare.requestCount,
+                    referenceShare.servedShare,
+                    referenceShare.requestCount));
         }
     }
 }
--- a/src/test/java/copperbeam/model/VirtualTime.java
+++ b/src/test/java/copperbeam/model/VirtualTime.java
@@ -21,18 +21,18 @@
     /** Far from the epoch, as a launch time of 0 in a server list means long ago. */
     private static final Instant START = Instant.ofEpochSecond(1_000_000);
 
-    static final long MILLI = 1_000_000;
-    static final long SECOND = 1_000 * MILLI;
+    static final long NANOS_PER_MS = 1_000_000;
+    static final long NANOS_PER_S = 1_000 * NANOS_PER_MS;
 
     /** A scheduled task; tasks that are due at the same time run in the order in which they were scheduled. */
-    static final class Due extends FutureTask<Void> implements ScheduledFuture<Void> {
-        private final long at;
-        private final long order;
+    static final class ScheduledTask extends FutureTask<Void> implements ScheduledFuture<Void> {
+        private final long dueAt;
+        private final long sequence;
 
-        private Due(long at, long order, Runnable task) {
+        private ScheduledTask(long dueAt, long sequence, Runnable task) {
             super(task, null);
-            this.at = at;
-            this.order = order;
+            this.dueAt = dueAt;
+            this.sequence = sequence;
         }
 
         @Override
@@ -42,48 +42,50 @@
 
         @Override
         public int compareTo(Delayed other) {
-            Due o = (Due) other;
-            return at != o.at ? Long.compare(at, o.at) : Long.compare(order, o.order);
+            ScheduledTask otherTask = (ScheduledTask) other;
+            return dueAt != otherTask.dueAt
+                    ? Long.compare(dueAt, otherTask.dueAt)
+                    : Long.compare(sequence, otherTask.sequence);
         }
     }
 
-    private final PriorityQueue<Due> queue = new PriorityQueue<>();
+    private final PriorityQueue<ScheduledTask> queue = new PriorityQueue<>();
     private long now;
-    private long scheduled;
+    private long nextSequence;
 
     long now() {
         return now;
     }
 
-    double seconds() {
+    double epochSeconds() {
         return START.getEpochSecond() + now / 1e9;
     }
 
-    Due at(long time, Runnable task) {
-        Due due = new Due(Math.max(now, time), scheduled++, task);
-        queue.add(due);
-        return due;
+    ScheduledTask runAt(long time, Runnable task) {
+        ScheduledTask newTask = new ScheduledTask(Math.max(now, time), nextSequence++, task);
+        queue.add(newTask);
+        return newTask;
     }
 
-    Due after(long nanos, Runnable task) {
-        return at(now + nanos, task);
+    ScheduledTask runAfter(long nanos, Runnable task) {
+        return runAt(now + nanos, task);
     }
 
     /** Runs all tasks that are due by {@code until}, in order; throws an ExecutionException if a task fails. */
-    void run(long until) throws Exception {
-        while (!queue.isEmpty() && queue.peek().at <= until) {
-            Due due = queue.poll();
-            now = due.at;
-            if (!due.isCancelled()) {
-                due.run();
-                due.get();
+    void advanceTo(long until) throws Exception {
+        while (!queue.isEmpty() && queue.peek().dueAt <= until) {
+            ScheduledTask next = queue.poll();
+            now = next.dueAt;
+            if (!next.isCancelled()) {
+                next.run();
+                next.get();
             }
         }
         now = until;
     }
 
     /** An executor on a simulated thread; it supports only {@code execute} and {@code schedule} with a delay in nanoseconds. */
-    ScheduledExecutorService executor(Thread thread) {
+    ScheduledExecutorService executor(SimulatedThread thread) {
         return (ScheduledExecutorService) Proxy.newProxyInstance(
                 getClass().getClassLoader(), new Class<?>[] {ScheduledExecutorService.class}, (proxy, method, args) -> {
                     long delay = method.getName().equals("schedule") ? (Long) args[1] : 0;
@@ -95,53 +97,53 @@
      * The simulated thread of one process. It runs tasks one after another, each of which takes some virtual time; it can be
      * paused, and it runs nothing any more once its process has ended.
      */
-    static final class Thread {
-        private final LongSupplier cost; // draws the duration of the next task in nanoseconds
+    static final class SimulatedThread {
+        private final LongSupplier taskDuration; // draws the duration of the next task in nanoseconds
         private final Deque<Runnable> ready = new ArrayDeque<>();
         private long busyUntil;
-        private boolean awake;
+        private boolean wakeUpScheduled;
         private boolean ended;
 
-        Thread(LongSupplier cost) {
-            this.cost = cost;
+        SimulatedThread(LongSupplier taskDuration) {
+            this.taskDuration = taskDuration;
         }
 
-        void block(long until) {
+        void pauseUntil(long until) {
             busyUntil = Math.max(busyUntil, until);
         }
 
-        void end() {
+        void stop() {
             ended = true;
         }
 
-        private Due submit(VirtualTime time, long delay, Runnable task) {
-            Due[] due = new Due[1];
-            due[0] = time.after(delay, () -> {
+        private ScheduledTask submit(VirtualTime time, long delay, Runnable task) {
+            ScheduledTask[] handle = new ScheduledTask[1];
+            handle[0] = time.runAfter(delay, () -> {
                 ready.add(() -> {
-                    if (!due[0].isCancelled()) {
+                    if (!handle[0].isCancelled()) {
                         task.run();
                     }
                 });
-                wake(time);
+                scheduleNext(time);
             });
-            return due[0];
+            return handle[0];
         }
 
-        private void wake(VirtualTime time) {
-            if (!awake && !ready.isEmpty() && !ended) {
-                awake = true;
-                time.at(busyUntil, () -> run(time));
+        private void scheduleNext(VirtualTime time) {
+            if (!wakeUpScheduled && !ready.isEmpty() && !ended) {
+                wakeUpScheduled = true;
+                time.runAt(busyUntil, () -> runNext(time));
             }
         }
 
-        private void run(VirtualTime time) {
-            awake = false;
+        private void runNext(VirtualTime time) {
+            wakeUpScheduled = false;
             if (!ended && time.now >= busyUntil) {
                 Runnable next = ready.poll();
-                busyUntil = time.now + cost.getAsLong();
+                busyUntil = time.now + taskDuration.getAsLong();
                 next.run();
             }
-            wake(time);
+            scheduleNext(time);
         }
     }
 
@@ -154,7 +156,7 @@
         return START.plusNanos(nanos);
     }
 
-    long nanos(Instant instant) {
+    long toNanos(Instant instant) {
         return Duration.between(START, instant).toNanos();
     }
 
--- a/src/test/java/copperbeam/model/World.java
+++ b/src/test/java/copperbeam/model/World.java
@@ -2,7 +2,7 @@
 
 import copperbeam.Api;
 import copperbeam.Api.ListKind;
-import copperbeam.routing.Ask;
+import copperbeam.routing.RequestSpec;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -21,10 +21,11 @@
  * clients, faults and the {@link Rule}s that check what happens.
  */
 final class World {
-    private static final long TRAFFIC = 7 * VirtualTime.SECOND;
-    private static final long FRONT_MARGIN = 20 * VirtualTime.MILLI; // the front subtracts this from the time the client waits
-    private static final long CHECK = 20 * VirtualTime.MILLI;
-    private static final int SESSIONS = 60;
+    private static final long TRAFFIC_DURATION_NS = 7 * VirtualTime.NANOS_PER_S;
+    private static final long FRONT_MARGIN_NS =
+            20 * VirtualTime.NANOS_PER_MS; // the front subtracts this from the time the client waits
+    private static final long CHECK_INTERVAL_NS = 20 * VirtualTime.NANOS_PER_MS;
+    private static final int SESSION_COUNT = 60;
 
     /** How much load a burst brings, compared with the capacity of the servers when warm. */
     enum Load {
@@ -33,14 +34,14 @@
         /** Bursts of up to 2.3 times the usual load, even far above the capacity; such bursts were reported from operation. */
         BURSTS(Double.MAX_VALUE);
 
-        private final double most;
+        private final double maxLoadFactor;
 
-        Load(double most) {
-            this.most = most;
+        Load(double maxLoadFactor) {
+            this.maxLoadFactor = maxLoadFactor;
         }
     }
 
-    private record Line(long at, ClientRequest request, ModelServer server, String text) {}
+    private record LogLine(long loggedAt, ClientRequest request, ModelServer server, String text) {}
 
     final long seed;
     final SplittableRandom random;
@@ -49,32 +50,33 @@
     final List<ModelServer> servers = new ArrayList<>();
     final List<ModelProcess> processes = new ArrayList<>();
     final Map<String, ClientRequest> requests = new LinkedHashMap<>();
-    final Map<String, ModelServer> stateOwners = new HashMap<>(); // the server that holds a read state, by request id
+    final Map<String, ModelServer> readStateHolders =
+            new HashMap<>(); // the server that holds a read state, by request id
     final Set<Link> links = new LinkedHashSet<>();
-    final boolean drainsTurnAway;
-    final long reportEach; // nanoseconds after which a server renews its load report
-    long heldUp; // nanoseconds by which CPU contention and pause faults may delay a process; the rules allow for them
+    final boolean drainingServersRefuse;
+    final long reportInterval; // nanoseconds after which a server renews its load report
+    long maxPause; // nanoseconds by which CPU contention and pause faults may delay a process; the rules allow for them
 
     private final List<Rule> rules = new ArrayList<>();
-    private final List<Line> lines = new ArrayList<>();
-    private final boolean logs;
-    final boolean reference;
-    private final Map<ClientRequest, Integer> events = new HashMap<>();
-    private final Set<ClientRequest> open = new LinkedHashSet<>();
-    private final boolean[] reported = new boolean[5]; // which fields of a load report the servers fill in
-    private final double meanTokens;
-    private final double[] classFactor;
-    private final int meanAnswer;
-    private final double leaveChance;
-    private final double leaveNowChance;
+    private final List<LogLine> logLines = new ArrayList<>();
+    private final boolean logging;
+    final boolean usesReferencePolicy;
+    private final Map<ClientRequest, Integer> eventCounts = new HashMap<>();
+    private final Set<ClientRequest> openRequests = new LinkedHashSet<>();
+    private final boolean[] reportedFields = new boolean[5]; // which fields of a load report the servers fill in
+    private final double meanPromptTokens;
+    private final double[] meanTokensByClass;
+    private final int meanAnswerTokens;
+    private final double disconnectChance;
+    private final double disconnectOnSendChance;
     private final double retryChance;
-    private final double slowClients;
-    private final int zones;
-    private final boolean slowCore;
+    private final double slowClientShare;
+    private final int zoneCount;
+    private final boolean slowCpu;
     private final Load load;
-    private String traffic;
-    private String broken;
-    private int ids;
+    private String trafficSummary;
+    private String violation;
+    private int nextRequestNumber;
 
     /**
      * Draws the world.
@@ -82,44 +84,50 @@
      * @param logging keep a log, which is part of the message about a violation
      * @param usesReferencePolicy run {@link ReferencePolicy} in place of the router, and check no rules
      */
-    World(long seed, int processCount, WorldSettings.Source source, Load load, boolean logs, boolean reference) {
+    World(
+            long seed,
+            int processCount,
+            WorldSettings.Source source,
+            Load load,
+            boolean logging,
+            boolean usesReferencePolicy) {
         this.seed = seed;
-        this.reference = reference;
+        this.usesReferencePolicy = usesReferencePolicy;
         this.load = load;
-        this.logs = logs;
+        this.logging = logging;
         random = new SplittableRandom(seed);
         settings = source.draw(seed, processCount);
-        slowCore = random.nextInt(4) == 0;
-        heldUp = slowCore ? 100 * VirtualTime.MILLI : 0;
-        zones = 1 + random.nextInt(2);
-        drainsTurnAway = random.nextBoolean();
-        reportEach = (140 + random.nextInt(800)) * VirtualTime.MILLI;
-        for (int i = 0; i < reported.length; i++) {
-            reported[i] = random.nextBoolean();
+        slowCpu = random.nextInt(4) == 0;
+        maxPause = slowCpu ? 100 * VirtualTime.NANOS_PER_MS : 0;
+        zoneCount = 1 + random.nextInt(2);
+        drainingServersRefuse = random.nextBoolean();
+        reportInterval = (140 + random.nextInt(800)) * VirtualTime.NANOS_PER_MS;
+        for (int i = 0; i < reportedFields.length; i++) {
+            reportedFields[i] = random.nextBoolean();
         }
-        meanAnswer = 40 + random.nextInt(160);
-        classFactor = new double[settings.settings().classes().size()];
-        for (int i = 0; i < classFactor.length; i++) {
-            classFactor[i] = random.nextInt(3) == 0 ? 1 + random.nextInt(6) : 1;
+        meanAnswerTokens = 40 + random.nextInt(160);
+        meanTokensByClass = new double[settings.moduleSettings().classes().size()];
+        for (int i = 0; i < meanTokensByClass.length; i++) {
+            meanTokensByClass[i] = random.nextInt(3) == 0 ? 1 + random.nextInt(6) : 1;
         }
-        double base = 300 + random.nextInt(2000);
-        for (int i = 0; i < classFactor.length; i++) {
-            classFactor[i] *= base;
+        double baseTokens = 300 + random.nextInt(2000);
+        for (int i = 0; i < meanTokensByClass.length; i++) {
+            meanTokensByClass[i] *= baseTokens;
         }
-        meanTokens = java.util.Arrays.stream(classFactor).average().orElseThrow();
-        leaveChance = random.nextInt(3) == 0 ? 0.1 : 0.01;
-        leaveNowChance = random.nextInt(3) == 0 ? 0.05 : 0.005;
+        meanPromptTokens = java.util.Arrays.stream(meanTokensByClass).average().orElseThrow();
+        disconnectChance = random.nextInt(3) == 0 ? 0.1 : 0.01;
+        disconnectOnSendChance = random.nextInt(3) == 0 ? 0.05 : 0.005;
         retryChance = random.nextDouble();
-        slowClients = random.nextInt(4) == 0 ? 0.1 : 0;
-        if (!reference) {
+        slowClientShare = random.nextInt(4) == 0 ? 0.1 : 0;
+        if (!usesReferencePolicy) {
             addRules();
         }
         makeServers(processCount);
         for (int i = 0; i < processCount; i++) {
-            start(i);
+            startProcess(i);
         }
-        traffic();
-        new Faults(this).draw();
+        scheduleTraffic();
+        new Faults(this).drawAndSchedule();
     }
 
     private void addRules() {
@@ -132,193 +140,222 @@
 
     private void makeServers(int processCount) {
         int count = processCount == 1 ? 2 + random.nextInt(5) : 4 + random.nextInt(4 + processCount / 3);
-        List<Api.Kind> kinds = settings.settings().kinds();
+        List<Api.ServerKind> kinds = settings.moduleSettings().kinds();
         for (int i = 0; i < Math.max(count, kinds.size()); i++) {
             addServer(kinds.get(i < kinds.size() ? i : random.nextInt(kinds.size())), 0);
         }
     }
 
-    ModelServer addServer(Api.Kind kind, double launchedAt) {
-        int zone = random.nextInt(zones);
+    ModelServer addServer(Api.ServerKind kind, double launchedAt) {
+        int zone = random.nextInt(zoneCount);
         ModelServer server =
                 new ModelServer(this, servers.size(), "zone" + zone, zone * 10L + random.nextInt(2), kind, launchedAt);
         servers.add(server);
         return server;
     }
 
-    ModelProcess start(int index) {
-        ModelProcess p = new ModelProcess(this, index, "zone" + index % zones, random.nextLong());
+    ModelProcess startProcess(int index) {
+        ModelProcess process = new ModelProcess(this, index, "zone" + index % zoneCount, random.nextLong());
         if (index < processes.size()) {
-            processes.set(index, p);
+            processes.set(index, process);
         } else {
-            processes.add(p);
+            processes.add(process);
         }
-        p.tell(ListKind.CACHED, listed());
-        return p;
+        process.deliverList(ListKind.CACHED, listedServers());
+        return process;
     }
 
     /** All servers that discovery lists at present, draining ones included. */
-    List<ModelServer> listed() {
+    List<ModelServer> listedServers() {
         return servers.stream().filter(s -> s.state != Api.ServerState.GONE).toList();
     }
 
     // ---- traffic -------------------------------------------------------------------------------
 
-    private void traffic() {
-        boolean oneAttempt = settings.settings().limits().maxAttempts() == 1; // a separate reader would need an attempt of its own
-        double reads = listed().stream()
-                .filter(s -> s.role == Api.Role.MIXED || !oneAttempt && s.role == Api.Role.READER)
+    private void scheduleTraffic() {
+        boolean singleAttempt = settings.moduleSettings().limits().maxAttempts()
+                == 1; // a separate reader would need an attempt of its own
+        double readCapacity = listedServers().stream()
+                .filter(s -> s.role == Api.Role.MIXED || !singleAttempt && s.role == Api.Role.READER)
                 .mapToDouble(ModelServer::capacity)
                 .sum();
-        double writes = listed().stream()
+        double writeCapacity = listedServers().stream()
                 .filter(s -> s.role != Api.Role.READER)
                 .mapToDouble(ModelServer::capacity)
                 .sum();
-        double perS = Math.max(1, Math.min(reads, writes)) * (0.2 + 0.75 * random.nextDouble());
-        double burst = random.nextInt(3) == 0 ? 1.5 + 0.8 * random.nextDouble() : 1;
-        burst = Math.min(burst, Math.max(1, load.most * Math.min(reads, writes) / perS));
-        long burstAt = (long) (random.nextDouble() * TRAFFIC);
-        long burstEnd = burstAt + (long) ((2 + 7.5 * random.nextDouble()) * VirtualTime.SECOND);
-        traffic = String.format(
+        double baseRate = Math.max(1, Math.min(readCapacity, writeCapacity)) * (0.2 + 0.75 * random.nextDouble());
+        double burstFactor = random.nextInt(3) == 0 ? 1.5 + 0.8 * random.nextDouble() : 1;
+        burstFactor = Math.min(
+                burstFactor, Math.max(1, load.maxLoadFactor * Math.min(readCapacity, writeCapacity) / baseRate));
+        long burstStart = (long) (random.nextDouble() * TRAFFIC_DURATION_NS);
+        long burstEnd = burstStart + (long) ((2 + 7.5 * random.nextDouble()) * VirtualTime.NANOS_PER_S);
+        trafficSummary = String.format(
                 Locale.ROOT,
                 "%.1f requests/s at a capacity of %.1f, %.1f times as many from %s s to %s s",
-                perS,
-                Math.min(reads, writes),
-                burst,
-                time(burstAt),
-                time(burstEnd));
-        long at = 0;
-        while (at < TRAFFIC) {
-            double now = at > burstAt && at < burstEnd ? perS * burst : perS;
-            at += (long) (-Math.log(1 - random.nextDouble()) / now * 1e9);
-            SplittableRandom own = random.split();
-            time.at(at, () -> client(own, own.nextInt(classFactor.length), 0, false));
+                baseRate,
+                Math.min(readCapacity, writeCapacity),
+                burstFactor,
+                formatTime(burstStart),
+                formatTime(burstEnd));
+        long arrivalTime = 0;
+        while (arrivalTime < TRAFFIC_DURATION_NS) {
+            double currentRate = arrivalTime > burstStart && arrivalTime < burstEnd ? baseRate * burstFactor : baseRate;
+            arrivalTime += (long) (-Math.log(1 - random.nextDouble()) / currentRate * 1e9);
+            SplittableRandom requestRandom = random.split();
+            time.runAt(
+                    arrivalTime,
+                    () -> sendToRandomProcess(
+                            requestRandom, requestRandom.nextInt(meanTokensByClass.length), 0, false));
         }
     }
 
-    double meanTokens() {
-        return meanTokens;
+    double meanPromptTokens() {
+        return meanPromptTokens;
     }
 
-    double meanStreamSeconds(long eventGap) {
-        return (1 + meanAnswer / 8) * eventGap / 1e9;
+    double meanStreamSeconds(long eventInterval) {
+        return (1 + meanAnswerTokens / 8) * eventInterval / 1e9;
     }
 
-    private void client(SplittableRandom own, int requestClass, int retries, boolean resumed) {
-        List<ModelProcess> takers =
-                processes.stream().filter(p -> p.takesClients).toList();
-        if (!takers.isEmpty()) {
-            send(own, takers.get(own.nextInt(takers.size())), requestClass, retries, resumed);
+    private void sendToRandomProcess(SplittableRandom requestRandom, int classIndex, int retryCount, boolean resumed) {
+        List<ModelProcess> accepting =
+                processes.stream().filter(p -> p.acceptsClients).toList();
+        if (!accepting.isEmpty()) {
+            send(
+                    requestRandom,
+                    accepting.get(requestRandom.nextInt(accepting.size())),
+                    classIndex,
+                    retryCount,
+                    resumed);
         }
     }
 
-    private void send(SplittableRandom own, ModelProcess p, int requestClass, int retries, boolean resumed) {
-        Api.RequestClass c = settings.settings().classes().get(requestClass);
-        double tokens = Math.max(20, Math.min(100_000, -Math.log(1 - own.nextDouble()) * classFactor[requestClass]));
-        boolean shared = own.nextInt(3) > 0;
-        long most = settings.giveUp().get(c.name()).toNanos();
-        long waits = own.nextInt(50) == 0
-                ? (5 + own.nextInt(120)) * VirtualTime.MILLI
-                : (long) (most * (0.5 + 0.5 * own.nextDouble()));
-        long deadline = time.now() + waits;
-        long way = latency();
-        Ask ask = new Ask(
-                "r" + ids++,
-                c.name(),
-                "session" + own.nextInt(SESSIONS),
-                shared ? "prefix" + own.nextInt(6) : null,
-                Math.floor(tokens),
-                shared ? Math.floor(tokens / 2) : 0,
-                8 + own.nextInt(2 * meanAnswer),
-                time.instant(time.now() + way + waits - FRONT_MARGIN),
+    private void send(
+            SplittableRandom requestRandom, ModelProcess process, int classIndex, int retryCount, boolean resumed) {
+        Api.RequestClass classSettings = settings.moduleSettings().classes().get(classIndex);
+        double promptTokens = Math.max(
+                20, Math.min(100_000, -Math.log(1 - requestRandom.nextDouble()) * meanTokensByClass[classIndex]));
+        boolean sharesPrefix = requestRandom.nextInt(3) > 0;
+        long maxWait = settings.maxClientWait().get(classSettings.name()).toNanos();
+        long clientWait = requestRandom.nextInt(50) == 0
+                ? (5 + requestRandom.nextInt(120)) * VirtualTime.NANOS_PER_MS
+                : (long) (maxWait * (0.5 + 0.5 * requestRandom.nextDouble()));
+        long deadline = time.now() + clientWait;
+        long oneWayDelay = drawLatency();
+        RequestSpec spec = new RequestSpec(
+                "r" + nextRequestNumber++,
+                classSettings.name(),
+                "session" + requestRandom.nextInt(SESSION_COUNT),
+                sharesPrefix ? "prefix" + requestRandom.nextInt(6) : null,
+                Math.floor(promptTokens),
+                sharesPrefix ? Math.floor(promptTokens / 2) : 0,
+                8 + requestRandom.nextInt(2 * meanAnswerTokens),
+                time.instant(time.now() + oneWayDelay + clientWait - FRONT_MARGIN_NS),
                 resumed,
                 null);
-        ClientRequest request =
-                new ClientRequest(this, p, ask, retries, time.now() + way, deadline, own.nextDouble() < slowClients);
-        p.reactor(way, () -> {
-            requests.put(ask.id(), request);
-            open.add(request);
+        ClientRequest request = new ClientRequest(
+                this,
+                process,
+                spec,
+                retryCount,
+                time.now() + oneWayDelay,
+                deadline,
+                requestRandom.nextDouble() < slowClientShare);
+        process.runOnReactor(oneWayDelay, () -> {
+            requests.put(spec.id(), request);
+            openRequests.add(request);
             log(
                     request,
-                    "arrives at process " + p.index + ", " + (long) tokens + " tokens, waits "
-                            + waits / VirtualTime.MILLI + " ms" + (resumed ? ", resumed" : ""));
-            rules(r -> r.arrived(request));
-            p.arrive(request);
-            if (own.nextDouble() < leaveChance) {
-                long after = own.nextInt(3) == 0 ? (long) (own.nextDouble() * 5e6) : (long) (own.nextDouble() * waits);
-                time.after(after, () -> leave(request));
+                    "arrives at process " + process.index + ", " + (long) promptTokens + " tokens, waits "
+                            + clientWait / VirtualTime.NANOS_PER_MS + " ms" + (resumed ? ", resumed" : ""));
+            notifyRules(r -> r.requestArrived(request));
+            process.submit(request);
+            if (requestRandom.nextDouble() < disconnectChance) {
+                long disconnectDelay = requestRandom.nextInt(3) == 0
+                        ? (long) (requestRandom.nextDouble() * 5e6)
+                        : (long) (requestRandom.nextDouble() * clientWait);
+                time.runAfter(disconnectDelay, () -> disconnectClient(request));
             }
         });
     }
 
-    void leave(ClientRequest request) {
-        if (!request.over()) {
-            request.leftAt = time.now();
+    void disconnectClient(ClientRequest request) {
+        if (!request.isOver()) {
+            request.clientGoneAt = time.now();
             log(request, "client disconnects");
-            rules(r -> r.clientLeft(request));
-            request.process.reactor(reactorTurn(), () -> request.process.left(request));
+            notifyRules(r -> r.clientGone(request));
+            request.process.runOnReactor(drawReactorDelay(), () -> request.process.clientGone(request));
         }
     }
 
-    void clientMayLeaveNow(ClientRequest request) {
-        if (random.nextDouble() < leaveNowChance) {
-            time.after(random.nextInt(2_000_000), () -> leave(request));
+    void maybeDisconnectClient(ClientRequest request) {
+        if (random.nextDouble() < disconnectOnSendChance) {
+            time.runAfter(random.nextInt(2_000_000), () -> disconnectClient(request));
         }
     }
 
-    void clientMayRetry(ClientRequest request, Duration advice) {
-        Api.RequestClass c = settings.requestClass(request.ask.requestClass());
-        boolean may = request.ending == ClientRequest.Final.REFUSED || c.effect() == Api.Effect.SAFE;
-        if (may && request.retries < 3 && random.nextDouble() < retryChance) {
-            long after = advice.toNanos() + (long) (random.nextDouble() * 3e8);
-            SplittableRandom own = random.split();
-            time.after(after, () -> client(own, settings.settings().classes().indexOf(c), request.retries + 1, false));
+    void maybeRetry(ClientRequest request, Duration retryAfter) {
+        Api.RequestClass classSettings = settings.requestClass(request.spec.requestClass());
+        boolean retryAllowed =
+                request.outcome == ClientRequest.Outcome.REFUSED || classSettings.repeats() == Api.Repeats.SAFE;
+        if (retryAllowed && request.retryCount < 3 && random.nextDouble() < retryChance) {
+            long delay = retryAfter.toNanos() + (long) (random.nextDouble() * 3e8);
+            SplittableRandom requestRandom = random.split();
+            time.runAfter(
+                    delay,
+                    () -> sendToRandomProcess(
+                            requestRandom,
+                            settings.moduleSettings().classes().indexOf(classSettings),
+                            request.retryCount + 1,
+                            false));
         }
     }
 
-    void clientMayResume(ClientRequest request) {
-        if (settings.settings().streamsResume() && request.leftAt < 0 && request.retries < 3) {
-            Api.RequestClass c = settings.requestClass(request.ask.requestClass());
-            int index = settings.settings().classes().indexOf(c);
-            SplittableRandom own = random.split();
-            time.after((long) (random.nextDouble() * 3e8), () -> client(own, index, request.retries + 1, true));
+    void maybeResume(ClientRequest request) {
+        if (settings.moduleSettings().streamsResumable() && request.clientGoneAt < 0 && request.retryCount < 3) {
+            Api.RequestClass classSettings = settings.requestClass(request.spec.requestClass());
+            int classIndex = settings.moduleSettings().classes().indexOf(classSettings);
+            SplittableRandom requestRandom = random.split();
+            time.runAfter(
+                    (long) (random.nextDouble() * 3e8),
+                    () -> sendToRandomProcess(requestRandom, classIndex, request.retryCount + 1, true));
         }
     }
 
-    List<ClientRequest> open() {
-        open.removeIf(ClientRequest::over);
-        return List.copyOf(open);
+    List<ClientRequest> openRequests() {
+        openRequests.removeIf(ClientRequest::isOver);
+        return List.copyOf(openRequests);
     }
 
-    int eventsOf(ClientRequest request) {
-        return events.getOrDefault(request, 0);
+    int eventCount(ClientRequest request) {
+        return eventCounts.getOrDefault(request, 0);
     }
 
     void countEvent(ClientRequest request) {
-        events.merge(request, 1, Integer::sum);
+        eventCounts.merge(request, 1, Integer::sum);
     }
 
     // ---- network and servers -------------------------------------------------------------------
 
-    long latency() {
+    long drawLatency() {
         return 200_000 + random.nextInt(800_000);
     }
 
     /** Draws the delay in nanoseconds until the transport's I/O thread handles an event. */
-    long reactorTurn() {
+    long drawReactorDelay() {
         return random.nextInt(20) == 0 ? random.nextInt(5_000_000) : random.nextInt(100_000);
     }
 
     /** Draws the time in nanoseconds that one actor task takes; on a slow CPU the thread may be preempted for up to 30 ms. */
-    long taskCost() {
-        boolean preempted = slowCore && random.nextInt(300) == 0;
-        return random.nextInt(preempted ? 30_000_000 : slowCore ? 100_000 : 20_000);
+    long drawTaskDuration() {
+        boolean preempted = slowCpu && random.nextInt(300) == 0;
+        return random.nextInt(preempted ? 30_000_000 : slowCpu ? 100_000 : 20_000);
     }
 
     /** On a slow CPU, sometimes pauses the actor thread for up to 20 ms just after a request was decided. */
-    void mayPreempt(ModelProcess process) {
-        if (slowCore && random.nextInt(50) == 0) {
-            process.thread.block(time.now() + random.nextInt(20_000_000));
+    void maybePreempt(ModelProcess process) {
+        if (slowCpu && random.nextInt(50) == 0) {
+            process.actorThread.pauseUntil(time.now() + random.nextInt(20_000_000));
         }
     }
 
@@ -326,130 +363,148 @@
      * Draws the extra delay of a late connect in nanoseconds: up to 1 s, or such that the connect completes just as the router's
      * time for an open request runs out.
      */
-    long lateConnect(ModelProcess process) {
+    long drawConnectDelay(ModelProcess process) {
         if (random.nextInt(2) == 0) {
-            List<ClientRequest> candidates = open().stream()
-                    .filter(r -> r.process == process && r.streamingSince < 0)
+            List<ClientRequest> candidates = openRequests().stream()
+                    .filter(request -> request.process == process && request.streamingSince < 0)
                     .toList();
             if (!candidates.isEmpty()) {
-                ClientRequest r = candidates.get(random.nextInt(candidates.size()));
-                return Math.max(0, r.clientDeadline - 71 * VirtualTime.MILLI + random.nextInt(2_000_000) - time.now());
+                ClientRequest request = candidates.get(random.nextInt(candidates.size()));
+                return Math.max(
+                        0,
+                        request.clientDeadline
+                                - 71 * VirtualTime.NANOS_PER_MS
+                                + random.nextInt(2_000_000)
+                                - time.now());
             }
         }
-        return (long) (random.nextDouble() * VirtualTime.SECOND);
+        return (long) (random.nextDouble() * VirtualTime.NANOS_PER_S);
     }
 
-    boolean reports(int field) {
-        return reported[field];
+    boolean reportsField(int field) {
+        return reportedFields[field];
     }
 
-    void hold(String requestId, ModelServer server) {
-        stateOwners.put(requestId, server);
+    void holdReadState(String requestId, ModelServer server) {
+        readStateHolders.put(requestId, server);
         log(requests.get(requestId), "read state held at " + server);
-        rules(r -> r.held(requestId));
+        notifyRules(r -> r.stateHeld(requestId));
     }
 
-    void letGo(String requestId) {
-        if (stateOwners.remove(requestId) != null) {
+    void releaseReadState(String requestId) {
+        if (readStateHolders.remove(requestId) != null) {
             log(requests.get(requestId), "read state released");
-            rules(r -> r.letGo(requestId));
+            notifyRules(r -> r.stateReleased(requestId));
         }
     }
 
     void resetConnections(ModelServer server) {
-        List.copyOf(links).stream().filter(l -> l.server == server).forEach(Link::serverResets);
+        List.copyOf(links).stream().filter(l -> l.server == server).forEach(Link::resetByServer);
     }
 
     // ---- rules and log -------------------------------------------------------------------------
 
-    void rules(Consumer<Rule> what) {
-        rules.forEach(what);
+    void notifyRules(Consumer<Rule> notification) {
+        rules.forEach(notification);
     }
 
-    boolean logs() {
-        return logs;
+    boolean isLogging() {
+        return logging;
     }
 
     void log(ClientRequest request, String text) {
-        if (logs) {
-            lines.add(new Line(time.now(), request, null, text));
+        if (logging) {
+            logLines.add(new LogLine(time.now(), request, null, text));
         }
     }
 
     void log(ModelServer server, String text) {
-        if (logs) {
-            lines.add(new Line(time.now(), null, server, text));
+        if (logging) {
+            logLines.add(new LogLine(time.now(), null, server, text));
         }
     }
 
-    static String time(long nanos) {
+    static String formatTime(long nanos) {
         return String.format(Locale.ROOT, "%.6f", nanos / 1e9);
     }
 
     /** Keeps the first violation of a rule, with the log of the request or server that it concerns. */
-    void broken(String what, ClientRequest request, ModelServer server) {
-        if (broken != null) {
+    void reportViolation(String description, ClientRequest request, ModelServer server) {
+        if (violation != null) {
             return;
         }
-        StringBuilder text = new StringBuilder();
-        text.append(time(time.now())).append(": ").append(what).append(" (").append(request == null ? server : request);
-        text.append(")\nseed ")
+        StringBuilder message = new StringBuilder();
+        message.append(formatTime(time.now()))
+                .append(": ")
+                .append(description)
+                .append(" (")
+                .append(request == null ? server : request);
+        message.append(")\nseed ")
                 .append(seed)
                 .append(", ")
                 .append(processes.size())
                 .append(" processes, ");
-        text.append(servers.size())
+        message.append(servers.size())
                 .append(" servers, ")
                 .append(settings)
                 .append('\n')
                 .append(load)
                 .append('\n');
-        for (Line line : lines) {
-            boolean concerned = line.request != null && line.request == request
+        for (LogLine line : logLines) {
+            boolean isRelated = line.request != null && line.request == request
                     || line.server != null
                             && (request == null
                                     ? line.server == server
                                     : request.attempts.stream().anyMatch(a -> a.server == line.server));
-            if (concerned) {
-                text.append(time(line.at)).append(' ');
-                text.append(line.request == null ? line.server : line.request)
+            if (isRelated) {
+                message.append(formatTime(line.loggedAt)).append(' ');
+                message.append(line.request == null ? line.server : line.request)
                         .append(": ")
                         .append(line.text)
                         .append('\n');
             }
         }
-        broken = text.toString();
+        violation = message.toString();
     }
 
     /** Numbers of requests by how they ended, and under "attempts" the number of all attempts; {@link ModelTest} prints them. */
-    Map<String, Integer> ends() {
-        Map<String, Integer> ends = new TreeMap<>();
-        for (ClientRequest r : requests.values()) {
-            String end = r.ending != null ? r.ending.name() : r.leftAt >= 0 ? "LEFT" : "LOST WITH ITS PROCESS";
-            ends.merge(end, 1, Integer::sum);
-            ends.merge("attempts", r.attempts.size(), Integer::sum);
+    Map<String, Integer> countsByOutcome() {
+        Map<String, Integer> counts = new TreeMap<>();
+        for (ClientRequest request : requests.values()) {
+            String outcome = request.outcome != null
+                    ? request.outcome.name()
+                    : request.clientGoneAt >= 0 ? "LEFT" : "LOST WITH ITS PROCESS";
+            counts.merge(outcome, 1, Integer::sum);
+            counts.merge("attempts", request.attempts.size(), Integer::sum);
         }
-        return ends;
+        return counts;
     }
 
     /** Runs the world to its end; returns the first violation of a rule, or null. */
-    String play() throws Exception {
-        long longest = settings.giveUp().values().stream()
+    String run() throws Exception {
+        long maxWait = settings.maxClientWait().values().stream()
                 .mapToLong(Duration::toNanos)
                 .max()
                 .orElseThrow();
-        long end = TRAFFIC + longest + 12 * VirtualTime.SECOND;
-        for (long at = CHECK; at < end && broken == null; at += CHECK) {
-            time.run(at);
+        long latestEnd = TRAFFIC_DURATION_NS + maxWait + 12 * VirtualTime.NANOS_PER_S;
+        for (long checkTime = CHECK_INTERVAL_NS;
+                checkTime < latestEnd && violation == null;
+                checkTime += CHECK_INTERVAL_NS) {
+            time.advanceTo(checkTime);
             rules.forEach(Rule::check);
-            if (at > TRAFFIC + 5 * VirtualTime.SECOND && open().isEmpty() && stateOwners.isEmpty()) {
+            if (checkTime > TRAFFIC_DURATION_NS + 5 * VirtualTime.NANOS_PER_S
+                    && openRequests().isEmpty()
+                    && readStateHolders.isEmpty()) {
                 break;
             }
         }
         rules.forEach(Rule::finish);
-        if (broken == null && !open().isEmpty()) {
-            broken("request still open at the end of the world", open().iterator().next(), null);
+        if (violation == null && !openRequests().isEmpty()) {
+            reportViolation(
+                    "request still open at the end of the world",
+                    openRequests().iterator().next(),
+                    null);
         }
-        return broken;
+        return violation;
     }
 }
--- a/src/test/java/copperbeam/model/WorldSettings.java
+++ b/src/test/java/copperbeam/model/WorldSettings.java
@@ -12,13 +12,13 @@
  * @param maxClientWait for each class, how long its clients wait at most
  */
 record WorldSettings(
-        Api.Settings settings,
+        Api.Settings moduleSettings,
         Duration connectTimeout,
-        Duration connectionIdle,
-        int idle,
+        Duration connectionIdleTimeout,
+        int maxIdleConnections,
         Duration drainGrace,
         Duration answerSlack,
-        Map<String, Duration> giveUp) {
+        Map<String, Duration> maxClientWait) {
 
     /** Draws the settings of a world. */
     interface Source {
@@ -27,7 +27,7 @@
     }
 
     Api.RequestClass requestClass(String name) {
-        return settings.classes().stream()
+        return moduleSettings.classes().stream()
                 .filter(c -> c.name().equals(name))
                 .findFirst()
                 .orElseThrow();
--- a/src/test/java/copperbeam/program/ConfigTest.java
+++ b/src/test/java/copperbeam/program/ConfigTest.java
@@ -27,30 +27,30 @@
             {"openai":{"listen":"127.0.0.1:0","models":{"m":{"class":"ask"}}}}
             """;
 
-    private static Config read(String config, String operator, Map<String, String> more) throws Exception {
+    private static Config read(String config, String operator, Map<String, String> variables) throws Exception {
         Path folder = Files.createTempDirectory("config");
         Path file = Files.writeString(folder.resolve("config.json"), config);
-        Path other = operator == null ? null : Files.writeString(folder.resolve("operator.json"), operator);
-        Map<String, String> environment = new java.util.HashMap<>(more);
+        Path operatorFile = operator == null ? null : Files.writeString(folder.resolve("operator.json"), operator);
+        Map<String, String> environment = new java.util.HashMap<>(variables);
         environment.put("GW_CONFIG", file.toString());
-        return Config.read(environment, other == null ? null : other.toString());
+        return Config.read(environment, operatorFile == null ? null : operatorFile.toString());
     }
 
     @Test
     public void readsAndGivesDefaults() throws Exception {
-        Config c = read(GOOD, OPERATOR, Map.of("GW_LISTEN", "127.0.0.9:77"));
-        assertEquals(c.listen().getPort(), 77);
-        assertEquals(c.discovery().getPort(), 8500);
-        assertEquals(c.seed(), 0x8c1f30d27a5be964L);
-        assertEquals(c.connectTimeout(), Duration.ofMillis(250));
-        assertEquals(c.connectionIdle(), Duration.ofSeconds(12));
-        assertEquals(c.known().version(), 41);
-        assertEquals(c.operator().chat().models().get("m").timeout(), Duration.ofSeconds(15));
-        assertEquals(read(GOOD, null, Map.of()).operator().chat(), null);
+        Config config = read(GOOD, OPERATOR, Map.of("GW_LISTEN", "127.0.0.9:77"));
+        assertEquals(config.listen().getPort(), 77);
+        assertEquals(config.discovery().getPort(), 8500);
+        assertEquals(config.seed(), 0x8c1f30d27a5be964L);
+        assertEquals(config.connectTimeout(), Duration.ofMillis(250));
+        assertEquals(config.connectionIdleTimeout(), Duration.ofSeconds(12));
+        assertEquals(config.knownList().version(), 41);
+        assertEquals(config.operator().chatModels().models().get("m").timeout(), Duration.ofSeconds(15));
+        assertEquals(read(GOOD, null, Map.of()).operator().chatModels(), null);
     }
 
     @Test
-    public void aConnectionIsGivenUpByTheSystemsSecondRepeat() throws Exception {
+    public void theConnectTimeoutIsCapped() throws Exception {
         String slow = GOOD.replace("\"conn_idle_s\"", "\"connect_timeout_s\":60,\"conn_idle_s\"");
         assertEquals(read(slow, null, Map.of()).connectTimeout(), Duration.ofSeconds(4));
     }
@@ -60,7 +60,7 @@
      * versions.
      */
     @Test
-    public void theKnownListIsGoneOnFromOnlyWhereTheListMustBeAsked() throws Exception {
+    public void theKnownListIsContinuedOnlyIfTheListMustBeRequested() throws Exception {
         String asked = GOOD.replace("\"balancers\"", "\"discovery\":\"subscribe\",\"balancers\"");
         assertEquals(read(asked, null, Map.of()).knownListing().version(), 41);
         assertEquals(read(GOOD, null, Map.of()).knownListing(), null);
@@ -70,21 +70,21 @@
 
     /** Missing settings of rules, prices and reports get defaults with which the module can choose a server. */
     @Test
-    public void whatIsNotToldStopsNoChoice() throws Exception {
-        Config c = read(GOOD, null, Map.of());
-        Brain brain = new Brain(c.settings(), c.seed());
-        brain.on(
+    public void missingSettingsGetUsableDefaults() throws Exception {
+        Config config = read(GOOD, null, Map.of());
+        Brain brain = new Brain(config.settings(), config.seed());
+        brain.onEvent(
                 1,
-                new Api.Members(
+                new Api.ServerListUpdate(
                         Api.ListKind.FULL,
                         List.of(
                                 new Api.Member("warm", null, "d", 0, Api.ServerState.READY, 0, 0),
                                 new Api.Member("cold", null, "d", 0, Api.ServerState.READY, 0, 0.9))));
-        List<Api.Action> actions = brain.on(1, new Api.Arrival(1, "none", null, null, null, 100, 0, 10, 5));
+        List<Api.Action> actions = brain.onEvent(1, new Api.Arrival(1, "none", null, null, null, 100, 0, 10, 5));
         assertTrue(actions.stream().anyMatch(a -> a instanceof Api.Attempt), actions.toString());
     }
 
-    private static final String WHOLE = """
+    private static final String COMPLETE = """
             {"listen":"127.0.0.4:3000","discovery":"127.0.0.1:8500","limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
              "settings":{"balancers":2,"self_index":1,"kinds":["r","w"],"zones":["z"],
                "customers":[{"name":"t","quota_per_s":5.0,"share":0.5}],
@@ -168,17 +168,18 @@
 
     /** With any configuration that is accepted, the module serves a request of each class, with one server of each kind. */
     @Test(dataProvider = "odd", timeOut = 30_000) // limit for a start
-    public void whatIsTakenServesEachClass(String usual, String odd) throws Exception {
-        assertTrue(WHOLE.contains(usual), usual);
-        Api.Settings settings = read(WHOLE.replace(usual, odd), null, Map.of()).settings();
+    public void acceptedSettingsServeEachClass(String usual, String odd) throws Exception {
+        assertTrue(COMPLETE.contains(usual), usual);
+        Api.Settings settings =
+                read(COMPLETE.replace(usual, odd), null, Map.of()).settings();
         List<String> kinds = settings.kinds().isEmpty()
                 ? List.of("none")
-                : settings.kinds().stream().map(Api.Kind::name).toList();
+                : settings.kinds().stream().map(Api.ServerKind::name).toList();
         WarmUp.start(settings, null, null, () -> {});
         Brain brain = new Brain(settings, 7);
-        brain.on(
+        brain.onEvent(
                 1,
-                new Api.Members(
+                new Api.ServerListUpdate(
                         Api.ListKind.FULL,
                         kinds.stream()
                                 .map(k -> new Api.Member(
@@ -188,7 +189,7 @@
                                         0,
                                         Api.ServerState.READY,
                                         0,
-                                        settings.rules().fallMultiple() > 0 ? 0 : 0.9))
+                                        settings.rules().overloadMultiple() > 0 ? 0 : 0.9))
                                 .toList()));
         for (int i = 0; i < settings.classes().size(); i++) {
             assertTrue(served(brain, settings, i), settings.classes().get(i) + " is not served");
@@ -198,29 +199,29 @@
     /** Attempts and probes succeed at once; timers shorter than a second fire one after another, others never. */
     private static boolean served(Brain brain, Api.Settings settings, int request) {
         double now = 2 + 10 * request;
-        ArrayDeque<Api.Action> todo = new ArrayDeque<>(brain.on(
+        ArrayDeque<Api.Action> pendingActions = new ArrayDeque<>(brain.onEvent(
                 now,
                 new Api.Arrival(
                         request, settings.classes().get(request).name(), "t", "s", "p", 1000, 500, 10, now + 50)));
         int attempts = 0;
-        while (!todo.isEmpty() && now < 7 + 10 * request) {
-            Api.Action action = todo.poll();
-            if (action instanceof Api.Timer t && t.afterS() < 1 && !t.tag().equals("probes")) {
-                todo.addAll(brain.on(now += t.afterS(), new Api.TimerFired(t.tag())));
+        while (!pendingActions.isEmpty() && now < 7 + 10 * request) {
+            Api.Action action = pendingActions.poll();
+            if (action instanceof Api.Timer t && t.delayS() < 1 && !t.tag().equals("probes")) {
+                pendingActions.addAll(brain.onEvent(now += t.delayS(), new Api.TimerFired(t.tag())));
             } else if (action instanceof Api.Probe p) {
-                todo.addAll(brain.on(now, new Api.Probed(p.server(), Api.Outcome.OK, 0.001, null)));
+                pendingActions.addAll(brain.onEvent(now, new Api.ProbeEnded(p.server(), Api.Outcome.OK, 0.001, null)));
             } else if (action instanceof Api.Attempt a) {
                 boolean reads = settings.kinds().stream()
                         .anyMatch(k -> k.name().equals(a.server()) && k.role() == Api.Role.READER);
                 if (!reads) {
-                    brain.on(now, new Api.StreamStarted(request, attempts, a.server(), 0.01));
-                    brain.on(
+                    brain.onEvent(now, new Api.StreamStarted(request, attempts, a.server(), 0.01));
+                    brain.onEvent(
                             now,
                             new Api.AttemptEnded(
                                     request, attempts, a.server(), Api.Outcome.OK, 0.02, true, false, null));
                     return true;
                 }
-                todo.addAll(brain.on(
+                pendingActions.addAll(brain.onEvent(
                         now,
                         new Api.AttemptEnded(
                                 request, attempts++, a.server(), Api.Outcome.READ, 0, false, false, null, 0)));
@@ -251,9 +252,11 @@
     }
 
     @Test(dataProvider = "deadlines")
-    public void theKillFollowsTheLongestDeadline(String told, String operator, int killMs) throws Exception {
-        Config c = read(GOOD.replace("\"name\":\"ask\",", "\"name\":\"ask\"," + told), operator, Map.of());
-        assertEquals(c.operator().stopWithin(), Duration.ofMillis(killMs));
+    public void theStopTimeoutFollowsTheLongestDeadline(String deadlineSetting, String operator, int stopTimeoutMs)
+            throws Exception {
+        Config config =
+                read(GOOD.replace("\"name\":\"ask\",", "\"name\":\"ask\"," + deadlineSetting), operator, Map.of());
+        assertEquals(config.operator().stopTimeout(), Duration.ofMillis(stopTimeoutMs));
     }
 
     @DataProvider
@@ -322,16 +325,16 @@
             },
             {GOOD.replace("\"extra\":{}", "\"extra\":{\"release_s\":1e12}"), null, "settings.extra.release_s: "},
             {GOOD.replace("\"rules\":{}", "\"rules\":{\"ask_within_s\":1e12}"), null, "settings.rules.ask_within_s: "},
-            {WHOLE.replace("\"promise_s\":1.0", "\"promise_s\":-1"), null, "settings.services[0].promise_s: "},
-            {WHOLE.replace("\"window_s\":5.0", "\"window_s\":-1"), null, "settings.services[1].window_s: "},
-            {WHOLE.replace("\"worth\":3.0", "\"worth\":-1"), null, "settings.services[0].worth: "},
-            {WHOLE.replace("\"fall_s\":2.0", "\"fall_s\":-1"), null, "settings.rules.fall_s: "},
-            {WHOLE.replace("\"release_s\":1.0", "\"release_s\":-1"), null, "settings.extra.release_s: "},
-            {WHOLE.replace("[1000,1000]", "[-1,1e300]"), null, "settings.extra.memory_tokens[0]: "},
-            {WHOLE.replace("[40000.0,0,0]", "[0,-1]"), null, "settings.extra.aim_us_per_1000_prompt_tokens[1]: "},
-            {WHOLE.replace("\"send_cap\":4", "\"send_cap\":1"), null, "settings.limits.send_cap: "},
-            {WHOLE.replace("[\"read\",\"write\"]", "[\"read\",\"read\"]"), null, "settings.extra.role_by_kind: "},
-            {WHOLE.replace("[\"read\",\"write\"]", "[\"write\",\"write\"]"), null, "settings.extra.role_by_kind: "},
+            {COMPLETE.replace("\"promise_s\":1.0", "\"promise_s\":-1"), null, "settings.services[0].promise_s: "},
+            {COMPLETE.replace("\"window_s\":5.0", "\"window_s\":-1"), null, "settings.services[1].window_s: "},
+            {COMPLETE.replace("\"worth\":3.0", "\"worth\":-1"), null, "settings.services[0].worth: "},
+            {COMPLETE.replace("\"fall_s\":2.0", "\"fall_s\":-1"), null, "settings.rules.fall_s: "},
+            {COMPLETE.replace("\"release_s\":1.0", "\"release_s\":-1"), null, "settings.extra.release_s: "},
+            {COMPLETE.replace("[1000,1000]", "[-1,1e300]"), null, "settings.extra.memory_tokens[0]: "},
+            {COMPLETE.replace("[40000.0,0,0]", "[0,-1]"), null, "settings.extra.aim_us_per_1000_prompt_tokens[1]: "},
+            {COMPLETE.replace("\"send_cap\":4", "\"send_cap\":1"), null, "settings.limits.send_cap: "},
+            {COMPLETE.replace("[\"read\",\"write\"]", "[\"read\",\"read\"]"), null, "settings.extra.role_by_kind: "},
+            {COMPLETE.replace("[\"read\",\"write\"]", "[\"write\",\"write\"]"), null, "settings.extra.role_by_kind: "},
             {GOOD, "{\"opnai\":{}}", "opnai: "},
             {GOOD, OPERATOR.replace("\"class\":\"ask\"", "\"class\":\"none\""), "openai.models.m.class: "},
             {
@@ -347,9 +350,9 @@
     }
 
     @Test(dataProvider = "faulty")
-    public void namesTheFaultyKey(String config, String operator, String told) {
-        Config.Invalid e = expectThrows(Config.Invalid.class, () -> read(config, operator, Map.of()));
-        assertTrue(e.getMessage().startsWith(told), e.getMessage());
+    public void namesTheFaultyKey(String config, String operator, String messageStart) {
+        Config.Invalid exception = expectThrows(Config.Invalid.class, () -> read(config, operator, Map.of()));
+        assertTrue(exception.getMessage().startsWith(messageStart), exception.getMessage());
     }
 
     /** The example of an operator file in the repository is valid. */
@@ -359,9 +362,9 @@
                 "\"semantics\":\"safe\"}",
                 "\"semantics\":\"safe\"},{\"name\":\"send\"," + "\"promise_s\":3,\"semantics\":\"unsafe\"}");
         Path file = Files.writeString(Files.createTempFile("config", ".json"), settings);
-        Config c = Config.read(Map.of("GW_CONFIG", file.toString()), "deploy/operator.example.json");
-        assertEquals(c.operator().hooks().size(), 1);
-        assertEquals(c.operator().stopWithin(), Duration.ofMillis(3700));
-        assertEquals(c.discovery(), null);
+        Config config = Config.read(Map.of("GW_CONFIG", file.toString()), "deploy/operator.example.json");
+        assertEquals(config.operator().hooks().size(), 1);
+        assertEquals(config.operator().stopTimeout(), Duration.ofMillis(3700));
+        assertEquals(config.discovery(), null);
     }
 }
--- a/src/test/java/copperbeam/program/GeneratedSettingsTest.java
+++ b/src/test/java/copperbeam/program/GeneratedSettingsTest.java
@@ -18,7 +18,7 @@
 /** Random configurations: valid ones are accepted and their classes served; for invalid ones, the key at fault is named. */
 public class GeneratedSettingsTest {
     private static final int SEEDS = Integer.getInteger("settings.seeds", 1500);
-    private static final int MOST_TOLD = 12; // bounds the output, as one cause fails for many seeds
+    private static final int MAX_REPORTED_FAILURES = 12; // bounds the output, as one cause fails for many seeds
 
     private static Config read(Path file, GeneratedSettings drawn) throws Exception {
         Files.writeString(file, drawn.json());
@@ -26,19 +26,19 @@
     }
 
     @Test
-    public void whatIsDrawnWithinThePagesIsTakenAndServed() throws Exception {
+    public void validSettingsAreAcceptedAndServed() throws Exception {
         Path file = Files.createTempFile("config", ".json");
         Map<String, String> failures = new TreeMap<>();
         for (long seed = 1; seed <= SEEDS; seed++) {
             GeneratedSettings drawn = GeneratedSettings.draw(seed);
             try {
-                Config taken = read(file, drawn);
+                Config config = read(file, drawn);
                 assertEquals(
-                        new ArrayList<>(taken.classNames().stream().sorted().toList()),
-                        drawn.classes().stream().sorted().toList());
-                for (int i = 0; i < taken.settings().classes().size(); i++) {
-                    String unserved = OneRequest.unserved(taken.settings(), i, drawn.roles());
-                    assertTrue(unserved == null, "class " + i + " is not served: " + unserved);
+                        new ArrayList<>(config.classNames().stream().sorted().toList()),
+                        drawn.classNames().stream().sorted().toList());
+                for (int i = 0; i < config.settings().classes().size(); i++) {
+                    String failureLog = RequestSimulation.failureLog(config.settings(), i, drawn.roleByKind());
+                    assertTrue(failureLog == null, "class " + i + " is not served: " + failureLog);
                 }
             } catch (Config.Invalid | RuntimeException | AssertionError | StackOverflowError e) {
                 failures.putIfAbsent(String.valueOf(e).replaceAll("[0-9.]+", "#"), e + "\n" + drawn);
@@ -48,11 +48,11 @@
     }
 
     @Test
-    public void whatCannotBeMeantIsRefusedByItsKey() throws Exception {
+    public void invalidSettingsAreRejectedByKey() throws Exception {
         Path file = Files.createTempFile("config", ".json");
         Map<String, String> failures = new TreeMap<>();
         for (long seed = 1; seed <= SEEDS; seed++) {
-            GeneratedSettings drawn = GeneratedSettings.spoilt(seed);
+            GeneratedSettings drawn = GeneratedSettings.drawInvalid(seed);
             String result;
             try {
                 read(file, drawn);
@@ -73,7 +73,7 @@
         if (!failures.isEmpty()) {
             StringBuilder text = new StringBuilder(failures.size() + " kinds of failure");
             failures.entrySet().stream()
-                    .limit(MOST_TOLD)
+                    .limit(MAX_REPORTED_FAILURES)
                     .forEach(e -> text.append("\n")
                             .append(e.getKey())
                             .append("\n    ")
@@ -83,58 +83,61 @@
     }
 
     /** Simulates one request, with one idle server of each kind that answers at once. */
-    private static final class OneRequest {
-        private record Due(double at, Api.Event event) {}
+    private static final class RequestSimulation {
+        private record ScheduledEvent(double atS, Api.Event event) {}
 
-        private static final double BOUND_S = 20;
+        private static final double DEADLINE_S = 20;
 
         private final Api.Settings settings;
         private final Map<String, String> roles;
         private final Brain brain;
-        private final List<Due> due = new ArrayList<>();
+        private final List<ScheduledEvent> scheduledEvents = new ArrayList<>();
         private int attempts;
         private Boolean served;
 
-        private OneRequest(Api.Settings settings, Map<String, String> roles) {
+        private RequestSimulation(Api.Settings settings, Map<String, String> roles) {
             this.settings = settings;
             this.roles = roles;
             brain = new Brain(settings, 7);
         }
 
         /** Null if the request is served, else the end of the log of the module's actions. */
-        static String unserved(Api.Settings settings, int requestClass, Map<String, String> roles) {
-            return new OneRequest(settings, roles)
+        static String failureLog(Api.Settings settings, int requestClass, Map<String, String> roles) {
+            return new RequestSimulation(settings, roles)
                     .run(settings.classes().get(requestClass).name());
         }
 
         private String run(String requestClass) {
             List<Api.Member> members = new ArrayList<>();
             roles.keySet().forEach(k -> members.add(new Api.Member(k, "a", k, 0, Api.ServerState.READY, 1, 0)));
-            take(1, new Api.Members(Api.ListKind.FULL, members));
+            feed(1, new Api.ServerListUpdate(Api.ListKind.FULL, members));
             StringBuilder log = new StringBuilder();
-            due.add(new Due(3, new Api.Arrival(1, requestClass, "t", "s", "p", 1000, 500, 10, 3 + BOUND_S)));
-            while (!due.isEmpty() && served == null) {
-                Due next = due.stream()
-                        .min(java.util.Comparator.comparingDouble(Due::at))
+            scheduledEvents.add(new ScheduledEvent(
+                    3, new Api.Arrival(1, requestClass, "t", "s", "p", 1000, 500, 10, 3 + DEADLINE_S)));
+            while (!scheduledEvents.isEmpty() && served == null) {
+                ScheduledEvent next = scheduledEvents.stream()
+                        .min(java.util.Comparator.comparingDouble(ScheduledEvent::atS))
                         .orElseThrow();
-                due.remove(next);
-                if (next.at() > 3 + BOUND_S) {
+                scheduledEvents.remove(next);
+                if (next.atS() > 3 + DEADLINE_S) {
                     break;
                 }
-                take(next.at(), next.event()).forEach(a -> log.append(' ').append(a));
+                feed(next.atS(), next.event()).forEach(a -> log.append(' ').append(a));
             }
             return Boolean.TRUE.equals(served) ? null : log.substring(Math.max(0, log.length() - 1500));
         }
 
-        private List<Api.Action> take(double now, Api.Event event) {
-            List<Api.Action> actions = brain.on(now, event);
+        private List<Api.Action> feed(double now, Api.Event event) {
+            List<Api.Action> actions = brain.onEvent(now, event);
             for (Api.Action action : actions) {
                 if (action instanceof Api.Timer t) {
-                    due.add(new Due(now + Math.max(t.afterS(), 0.001), new Api.TimerFired(t.tag())));
+                    scheduledEvents.add(
+                            new ScheduledEvent(now + Math.max(t.delayS(), 0.001), new Api.TimerFired(t.tag())));
                 } else if (action instanceof Api.Probe p) {
-                    due.add(new Due(now + 0.002, new Api.Probed(p.server(), Api.Outcome.OK, 0.002, null)));
+                    scheduledEvents.add(new ScheduledEvent(
+                            now + 0.002, new Api.ProbeEnded(p.server(), Api.Outcome.OK, 0.002, null)));
                 } else if (action instanceof Api.Attempt a) {
-                    attempted(now + 0.01, a);
+                    onAttempt(now + 0.01, a);
                 } else if (action instanceof Api.Refuse || action instanceof Api.Fail) {
                     served = false;
                 }
@@ -142,15 +145,16 @@
             return actions;
         }
 
-        private void attempted(double at, Api.Attempt a) {
-            boolean reads = roles.get(a.server()).equals("read");
+        private void onAttempt(double endS, Api.Attempt attempt) {
+            boolean reads = roles.get(attempt.server()).equals("read");
             int number = attempts++;
             if (!reads) {
                 served = attempts <= settings.limits().maxAttempts();
                 return;
             }
-            due.add(new Due(
-                    at, new Api.AttemptEnded(1, number, a.server(), Api.Outcome.READ, 0.01, false, false, null, 0)));
+            scheduledEvents.add(new ScheduledEvent(
+                    endS,
+                    new Api.AttemptEnded(1, number, attempt.server(), Api.Outcome.READ, 0.01, false, false, null, 0)));
         }
     }
 }
