--- a/src/test/java/copperbeam/program/LifecycleActorTest.java
+++ b/src/test/java/copperbeam/program/LifecycleActorTest.java
@@ -6,14 +6,14 @@
 
 import copperbeam.lifecycle.Lifecycle;
 import copperbeam.protocol.Json;
-import copperbeam.routing.Answer;
-import copperbeam.routing.Ask;
 import copperbeam.routing.Metrics;
 import copperbeam.routing.ModuleActor;
 import copperbeam.routing.Recorder;
 import copperbeam.routing.ReleaseActor;
+import copperbeam.routing.RequestSpec;
+import copperbeam.routing.ResponseSink;
 import copperbeam.simhost.Decoder;
-import copperbeam.transport.ClientRoom;
+import copperbeam.transport.ClientConnections;
 import copperbeam.transport.HttpFrontServer;
 import java.io.BufferedReader;
 import java.io.InputStreamReader;
@@ -38,24 +38,24 @@
 
 /** A stop must not end while a client or a request is on its way that is not counted as open yet. */
 public class LifecycleActorTest {
-    private static final int PATIENCE_MS = 10_000;
+    private static final int TIMEOUT_MS = 10_000;
 
     /** A clock that the test advances; blocks the thread of a given name at each reading. */
-    private static final class Held extends Clock {
-        final CountDownLatch looked = new CountDownLatch(1);
-        final CountDownLatch go = new CountDownLatch(1);
-        final AtomicInteger turns = new AtomicInteger(); // readings by the actors' thread
-        private final String thread;
+    private static final class SteppedClock extends Clock {
+        final CountDownLatch blocked = new CountDownLatch(1);
+        final CountDownLatch unblock = new CountDownLatch(1);
+        final AtomicInteger actorReads = new AtomicInteger(); // readings by the actors' thread
+        private final String blockedThread;
         private volatile Instant now = Instant.now();
 
-        Held(String thread) {
-            this.thread = thread;
+        SteppedClock(String blockedThread) {
+            this.blockedThread = blockedThread;
         }
 
         /** Waits until the actors have read the clock 50 more times, or the stop has ended. */
-        void awaitTurns(CompletableFuture<Void> end) throws InterruptedException {
-            int from = turns.get();
-            while (turns.get() < from + 50 && !end.isDone()) {
+        void awaitActorReads(CompletableFuture<Void> end) throws InterruptedException {
+            int initialReads = actorReads.get();
+            while (actorReads.get() < initialReads + 50 && !end.isDone()) {
                 Thread.sleep(5);
             }
         }
@@ -66,15 +66,15 @@
 
         @Override
         public Instant instant() {
-            if (Thread.currentThread().getName().equals(thread)) {
-                looked.countDown();
+            if (Thread.currentThread().getName().equals(blockedThread)) {
+                blocked.countDown();
                 try {
-                    assertTrue(go.await(PATIENCE_MS, TimeUnit.MILLISECONDS));
+                    assertTrue(unblock.await(TIMEOUT_MS, TimeUnit.MILLISECONDS));
                 } catch (InterruptedException e) {
                     Thread.currentThread().interrupt();
                 }
             }
-            turns.addAndGet(Thread.currentThread().getName().equals("actors") ? 1 : 0);
+            actorReads.addAndGet(Thread.currentThread().getName().equals("actors") ? 1 : 0);
             return now;
         }
 
@@ -89,8 +89,8 @@
         }
     }
 
-    private static final class Parts implements AutoCloseable {
-        final ScheduledThreadPoolExecutor turns =
+    private static final class TestNode implements AutoCloseable {
+        final ScheduledThreadPoolExecutor scheduler =
                 new ScheduledThreadPoolExecutor(1, task -> new Thread(task, "actors"));
         final HttpFrontServer front;
         final ModuleActor module;
@@ -98,18 +98,18 @@
         final InetSocketAddress address;
 
         @SuppressWarnings("unchecked")
-        Parts(Clock clock) throws Exception {
+        TestNode(Clock clock) throws Exception {
             front = new HttpFrontServer(
                     (call, reply) -> {
-                        reply.whole(200, "text/plain", Map.of(), new byte[0]);
+                        reply.respond(200, "text/plain", Map.of(), new byte[0]);
                         return () -> {};
                     },
                     clock,
-                    new ClientRoom(10, 1 << 20),
+                    new ClientConnections(10, 1 << 20),
                     (requestClass, status) -> {});
-            ReleaseActor releases = new ReleaseActor(turns, clock, Duration.ofSeconds(2));
+            ReleaseActor releases = new ReleaseActor(scheduler, clock, Duration.ofSeconds(2));
             module = new ModuleActor(
-                    turns,
+                    scheduler,
                     clock,
                     Decoder.settings(Json.GSON.fromJson(
                             "{\"balancers\":1,"
@@ -122,7 +122,7 @@
                     Recorder.NONE,
                     new Metrics(Set.of("ask")));
             lifecycle = new LifecycleActor(
-                    turns,
+                    scheduler,
                     clock,
                     new Lifecycle(Duration.ofMillis(3700), true),
                     List.of(front),
@@ -136,12 +136,12 @@
         @Override
         public void close() {
             front.close();
-            turns.shutdownNow();
+            scheduler.shutdownNow();
         }
     }
 
-    private static Object tell(CompletableFuture<String> told, String what) {
-        told.complete(what);
+    private static Object complete(CompletableFuture<String> calledMethod, String methodName) {
+        calledMethod.complete(methodName);
         return null;
     }
 
@@ -153,24 +153,24 @@
 
     /** The process must not end while a client is in the kernel's accept queue or on its way between two threads. */
     @Test(dataProvider = "threads")
-    public void whoIsOnTheWayInIsServedBeforeTheEnd(String thread) throws Exception {
-        Held clock = new Held(thread);
-        try (Parts parts = new Parts(clock);
-                Socket client = new Socket(parts.address.getAddress(), parts.address.getPort())) {
-            client.setSoTimeout(PATIENCE_MS);
+    public void aClientStillConnectingIsServedBeforeTheEnd(String thread) throws Exception {
+        SteppedClock clock = new SteppedClock(thread);
+        try (TestNode testNode = new TestNode(clock);
+                Socket client = new Socket(testNode.address.getAddress(), testNode.address.getPort())) {
+            client.setSoTimeout(TIMEOUT_MS);
             client.getOutputStream().write("GET / HTTP/1.1\r\nHost: x\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
-            assertTrue(clock.looked.await(PATIENCE_MS, TimeUnit.MILLISECONDS));
-            CompletableFuture<Void> end = parts.lifecycle.stop(false);
-            clock.awaitTurns(end);
+            assertTrue(clock.blocked.await(TIMEOUT_MS, TimeUnit.MILLISECONDS));
+            CompletableFuture<Void> end = testNode.lifecycle.stop(false);
+            clock.awaitActorReads(end);
             clock.advance(Duration.ofSeconds(1)); // load balancers had time to notice, and nothing is open
-            clock.awaitTurns(end);
+            clock.awaitActorReads(end);
             assertFalse(end.isDone(), "the stop ended while a client was connecting");
-            clock.go.countDown();
+            clock.unblock.countDown();
             BufferedReader in =
                     new BufferedReader(new InputStreamReader(client.getInputStream(), StandardCharsets.US_ASCII));
             assertEquals(in.readLine(), "HTTP/1.1 200 OK");
             clock.advance(Duration.ofMillis(100)); // time to close its connection
-            end.get(PATIENCE_MS, TimeUnit.MILLISECONDS);
+            end.get(TIMEOUT_MS, TimeUnit.MILLISECONDS);
         }
     }
 
@@ -179,21 +179,21 @@
      * ends; otherwise servers would keep read states for it.
      */
     @Test
-    public void whatIsOpenWithoutAClientIsEndedBeforeTheEnd() throws Exception {
-        Held clock = new Held("none");
-        try (Parts parts = new Parts(clock)) {
-            CompletableFuture<Void> end = parts.lifecycle.stop(false);
-            clock.awaitTurns(end); // the stop has found that nothing is open
-            CompletableFuture<String> told = new CompletableFuture<>();
-            Answer answer = (Answer) Proxy.newProxyInstance(
+    public void aLateRequestIsEndedBeforeTheEnd() throws Exception {
+        SteppedClock clock = new SteppedClock("none");
+        try (TestNode testNode = new TestNode(clock)) {
+            CompletableFuture<Void> end = testNode.lifecycle.stop(false);
+            clock.awaitActorReads(end); // the stop has found that nothing is open
+            CompletableFuture<String> calledMethod = new CompletableFuture<>();
+            ResponseSink response = (ResponseSink) Proxy.newProxyInstance(
                     getClass().getClassLoader(),
-                    new Class<?>[] {Answer.class},
+                    new Class<?>[] {ResponseSink.class},
                     (proxy, method, args) -> method.getName().equals("gone")
                             ? false
-                            : tell(told, method.getName() + (end.isDone() ? " after the end" : "")));
-            parts.turns.execute(() -> {
-                parts.module.arrive(
-                        new Ask(
+                            : complete(calledMethod, method.getName() + (end.isDone() ? " after the end" : "")));
+            testNode.scheduler.execute(() -> {
+                testNode.module.submit(
+                        new RequestSpec(
                                 "id",
                                 "ask",
                                 "k",
@@ -204,11 +204,11 @@
                                 clock.instant().plusSeconds(8),
                                 false,
                                 null),
-                        answer);
+                        response);
                 clock.advance(Duration.ofSeconds(1));
             });
-            assertEquals(told.get(PATIENCE_MS, TimeUnit.MILLISECONDS), "refuse");
-            end.get(PATIENCE_MS, TimeUnit.MILLISECONDS);
+            assertEquals(calledMethod.get(TIMEOUT_MS, TimeUnit.MILLISECONDS), "refuse");
+            end.get(TIMEOUT_MS, TimeUnit.MILLISECONDS);
         }
     }
 }
--- a/src/test/java/copperbeam/program/RegularTaskTest.java
+++ b/src/test/java/copperbeam/program/RegularTaskTest.java
@@ -10,7 +10,7 @@
 
 public class RegularTaskTest {
     @Test
-    public void itGoesOnAfterFailures() throws Exception {
+    public void itRunsAgainAfterFailures() throws Exception {
         ScheduledThreadPoolExecutor executor = new ScheduledThreadPoolExecutor(1);
         CountDownLatch runs = new CountDownLatch(3);
         RegularTask.start(executor, Duration.ofMillis(1), "a task", () -> {
--- a/src/test/java/copperbeam/protocol/ParsersTest.java
+++ b/src/test/java/copperbeam/protocol/ParsersTest.java
@@ -9,7 +9,7 @@
 import copperbeam.protocol.platform.PlatformHeaders;
 import copperbeam.protocol.platform.PlatformHeaders.Attrs;
 import copperbeam.protocol.platform.PlatformStatus;
-import copperbeam.routing.Connector.Word;
+import copperbeam.routing.Connector.AnswerKind;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
@@ -69,19 +69,19 @@
     @Test(dataProvider = "attrs")
     public void attrs(String value, Attrs expected) throws Exception {
         if (expected == null) {
-            assertThrows(BadRequest.class, () -> PlatformHeaders.attrs(value));
+            assertThrows(BadRequest.class, () -> PlatformHeaders.parseAttrs(value));
         } else {
-            assertEquals(PlatformHeaders.attrs(value), expected);
+            assertEquals(PlatformHeaders.parseAttrs(value), expected);
         }
     }
 
     @DataProvider
     public Object[][] reports() {
-        double no = Double.NaN;
+        double absent = Double.NaN;
         return new Object[][] {
-            {"inflight=7,queue=2,util=0.61", new Report(0.61, 2, 7, no, no)},
-            {"active=3,x0=0.5", new Report(no, no, 3, 0.5, no)},
-            {"x1=4, inflight=junk, x0=NaN", new Report(no, no, no, no, 4)},
+            {"inflight=7,queue=2,util=0.61", new Report(0.61, 2, 7, absent, absent)},
+            {"active=3,x0=0.5", new Report(absent, absent, 3, 0.5, absent)},
+            {"x1=4, inflight=junk, x0=NaN", new Report(absent, absent, absent, absent, 4)},
             {"", null},
             {null, null},
             {"inflight", null},
@@ -91,32 +91,32 @@
 
     @Test(dataProvider = "reports")
     public void report(String value, Report expected) {
-        assertEquals(PlatformHeaders.report(value), expected);
+        assertEquals(PlatformHeaders.parseReport(value), expected);
     }
 
     @DataProvider
     public Object[][] words() {
         return new Object[][] {
-            {200, false, Word.STREAM},
-            {202, false, Word.ERROR},
-            {410, true, Word.STATE_MISSING},
-            {410, false, Word.ERROR},
-            {503, true, Word.TURNED_AWAY},
-            {504, true, Word.TURNED_AWAY},
-            {503, false, Word.ERROR},
-            {504, false, Word.ERROR},
-            {500, true, Word.ERROR},
-            {404, false, Word.ERROR},
+            {200, false, AnswerKind.STREAM},
+            {202, false, AnswerKind.ERROR},
+            {410, true, AnswerKind.STATE_MISSING},
+            {410, false, AnswerKind.ERROR},
+            {503, true, AnswerKind.TURNED_AWAY},
+            {504, true, AnswerKind.TURNED_AWAY},
+            {503, false, AnswerKind.ERROR},
+            {504, false, AnswerKind.ERROR},
+            {500, true, AnswerKind.ERROR},
+            {404, false, AnswerKind.ERROR},
         };
     }
 
     @Test(dataProvider = "words")
-    public void words(int status, boolean notProcessed, Word expected) {
-        assertEquals(PlatformStatus.attempt(false, status, notProcessed), expected);
+    public void words(int status, boolean notProcessed, AnswerKind expected) {
+        assertEquals(PlatformStatus.classifyAttempt(false, status, notProcessed), expected);
         // for a reader, only 200 and 202 differ
         assertEquals(
-                PlatformStatus.attempt(true, status, notProcessed),
-                status == 200 ? Word.ERROR : status == 202 ? Word.READ : expected);
+                PlatformStatus.classifyAttempt(true, status, notProcessed),
+                status == 200 ? AnswerKind.ERROR : status == 202 ? AnswerKind.READ : expected);
     }
 
     @DataProvider
@@ -129,8 +129,8 @@
     }
 
     @Test(dataProvider = "reads")
-    public void reads(String body, double kept) {
-        assertEquals(PlatformStatus.keptTokens(body), kept);
+    public void reads(String body, double expected) {
+        assertEquals(PlatformStatus.cachedTokens(body), expected);
     }
 
     @DataProvider
@@ -149,14 +149,14 @@
     @Test(dataProvider = "streams")
     public void events(String stream, List<String> expected) {
         byte[] bytes = stream.getBytes(StandardCharsets.UTF_8);
-        for (int cut = 0; cut <= bytes.length; cut++) {
+        for (int splitAt = 0; splitAt <= bytes.length; splitAt++) {
             List<String> events = new ArrayList<>();
             EventSplitter splitter = new EventSplitter();
-            splitter.take(ByteBuffer.wrap(bytes, 0, cut), e -> events.add(new String(e, StandardCharsets.UTF_8)));
-            splitter.take(
-                    ByteBuffer.wrap(bytes, cut, bytes.length - cut),
+            splitter.accept(ByteBuffer.wrap(bytes, 0, splitAt), e -> events.add(new String(e, StandardCharsets.UTF_8)));
+            splitter.accept(
+                    ByteBuffer.wrap(bytes, splitAt, bytes.length - splitAt),
                     e -> events.add(new String(e, StandardCharsets.UTF_8)));
-            splitter.end(e -> events.add(new String(e, StandardCharsets.UTF_8)));
+            splitter.finish(e -> events.add(new String(e, StandardCharsets.UTF_8)));
             assertEquals(events, expected);
         }
     }
@@ -180,8 +180,8 @@
     public void whatIsNoEventEndsTheStream(String text) {
         EventSplitter splitter = new EventSplitter();
         List<byte[]> events = new ArrayList<>();
-        boolean taken = splitter.take(ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8)), events::add);
-        assertFalse(taken && splitter.end(events::add));
+        boolean accepted = splitter.accept(ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8)), events::add);
+        assertFalse(accepted && splitter.finish(events::add));
         assertEquals(events.size(), 0);
     }
 
@@ -224,9 +224,9 @@
     }
 
     @Test(dataProvider = "faultyLists")
-    public void faultyList(String json, String told) {
+    public void faultyList(String json, String expectedMessage) {
         IllegalArgumentException e = org.testng.Assert.expectThrows(
-                IllegalArgumentException.class, () -> ServerList.parse(json).change(copperbeam.Api.ListKind.FULL));
-        assertEquals(e.getMessage().contains(told), true, e.getMessage());
+                IllegalArgumentException.class, () -> ServerList.parse(json).toChange(copperbeam.Api.ListKind.FULL));
+        assertEquals(e.getMessage().contains(expectedMessage), true, e.getMessage());
     }
 }
--- a/src/test/java/copperbeam/record/RecorderTest.java
+++ b/src/test/java/copperbeam/record/RecorderTest.java
@@ -33,16 +33,16 @@
 
 /** The ring buffer, the recorder's file and its explanation. */
 public class RecorderTest {
-    private final ScheduledExecutorService turns = Executors.newSingleThreadScheduledExecutor();
+    private final ScheduledExecutorService scheduler = Executors.newSingleThreadScheduledExecutor();
 
     @AfterClass
-    public void end() {
-        turns.shutdownNow();
+    public void shutDown() {
+        scheduler.shutdownNow();
     }
 
     /** Compares the ring with a list of all added messages: it keeps the latest ones complete, filling at least half of it. */
     @Test
-    public void theRingHoldsTheEndOfWhatWasAdded() throws Exception {
+    public void theRingKeepsTheLatestMessages() throws Exception {
         Random random = new Random(3);
         for (int run = 0; run < 200; run++) {
             int bytes = 256 + random.nextInt(2000);
@@ -50,79 +50,85 @@
             Deque<Event> all = new ArrayDeque<>();
             int added = 0;
             for (int i = random.nextInt(300); i > 0; i--) {
-                Event e = Event.newBuilder()
+                Event event = Event.newBuilder()
                         .setAtMicros(i)
                         .setText("x".repeat(random.nextInt(60)))
                         .build();
-                ring.add(e);
-                all.addLast(e);
+                ring.add(event);
+                all.addLast(event);
                 added++;
             }
             List<Event> held = new ArrayList<>();
-            ByteArrayInputStream in = new ByteArrayInputStream(ring.copy());
-            for (Event e = Event.parseDelimitedFrom(in); e != null; e = Event.parseDelimitedFrom(in)) {
-                held.add(e);
+            ByteArrayInputStream in = new ByteArrayInputStream(ring.contents());
+            for (Event event = Event.parseDelimitedFrom(in); event != null; event = Event.parseDelimitedFrom(in)) {
+                held.add(event);
             }
             assertEquals(ring.lost() + held.size(), added);
-            Iterator<Event> last = all.descendingIterator();
+            Iterator<Event> expected = all.descendingIterator();
             for (int i = held.size() - 1; i >= 0; i--) {
-                assertEquals(held.get(i), last.next());
+                assertEquals(held.get(i), expected.next());
             }
-            assertTrue(ring.copy().length <= bytes);
-            assertTrue(ring.lost() == 0 || ring.copy().length > bytes / 2 - 70, "less than half of the ring is in use");
+            assertTrue(ring.contents().length <= bytes);
+            assertTrue(
+                    ring.lost() == 0 || ring.contents().length > bytes / 2 - 70,
+                    "less than half of the ring is in use");
         }
     }
 
     @Test
-    public void whatIsLargerThanTheRingIsLost() {
+    public void aMessageLargerThanHalfTheRingIsLost() {
         Ring ring = new Ring(256);
         ring.add(Event.newBuilder().setText("x".repeat(200)).build());
         assertEquals(ring.lost(), 1);
-        assertEquals(ring.copy().length, 0);
+        assertEquals(ring.contents().length, 0);
         assertThrows(IllegalArgumentException.class, () -> new Ring(255));
     }
 
     /** The file format has the same event types as the interface, in the same order. */
     @Test
     public void theFormatHasTheInterfacesNames() {
-        for (Recorder.What what : Recorder.What.values()) {
-            assertEquals(What.forNumber(what.ordinal() + 1).name(), what.name());
+        for (Recorder.EventType type : Recorder.EventType.values()) {
+            assertEquals(What.forNumber(type.ordinal() + 1).name(), type.name());
         }
     }
 
-    private static void life(Recorder r, long request, String id, Recorder.What end, String why) {
-        r.note(Recorder.What.ARRIVED, request, 0, null, id + " ask s1 500", Duration.ofSeconds(4));
-        r.note(Recorder.What.ATTEMPT, request, 0, "r1", "HOME", Duration.ofSeconds(4));
-        r.note(Recorder.What.CONNECTION, request, 0, "r1", "kept", Duration.ofMillis(40));
-        r.note(Recorder.What.ENDED, request, 0, "r1", "RESET", Duration.ofMillis(10));
-        r.note(end, request, 0, null, why, null);
+    private static void noteRequest(Recorder recorder, long request, String id, Recorder.EventType end, String reason) {
+        recorder.note(Recorder.EventType.ARRIVED, request, 0, null, id + " ask s1 500", Duration.ofSeconds(4));
+        recorder.note(Recorder.EventType.ATTEMPT, request, 0, "r1", "HOME", Duration.ofSeconds(4));
+        recorder.note(Recorder.EventType.CONNECTION, request, 0, "r1", "kept", Duration.ofMillis(40));
+        recorder.note(Recorder.EventType.ENDED, request, 0, "r1", "RESET", Duration.ofMillis(10));
+        recorder.note(end, request, 0, null, reason, null);
     }
 
-    private static String explained(Path file, java.util.function.Consumer<Explain> what) throws IOException {
+    private static String explain(Path file, java.util.function.Consumer<Explain> printer) throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        what.accept(new Explain(Recording.read(file), new PrintStream(out, true, StandardCharsets.UTF_8)));
+        printer.accept(new Explain(Recording.read(file), new PrintStream(out, true, StandardCharsets.UTF_8)));
         return out.toString(StandardCharsets.UTF_8);
     }
 
     @Test
-    public void aRecordingTellsLivesAndCauses() throws Exception {
+    public void aRecordingShowsRequestsAndCauses() throws Exception {
         Path file = Files.createTempDirectory("recorder").resolve("log");
-        FileRecorder recorder = new FileRecorder(turns, Clock.fixed(Instant.EPOCH, ZoneOffset.UTC), "n3", file, 8192);
-        turns.submit(() -> {
-                    life(recorder, 1, "one", Recorder.What.REFUSED, "NO_TIME");
-                    life(recorder, 2, "two", Recorder.What.REFUSED, "NO_TIME");
-                    life(recorder, 3, "three", Recorder.What.SERVED, null);
+        FileRecorder recorder =
+                new FileRecorder(scheduler, Clock.fixed(Instant.EPOCH, ZoneOffset.UTC), "n3", file, 8192);
+        scheduler
+                .submit(() -> {
+                    noteRequest(recorder, 1, "one", Recorder.EventType.REFUSED, "NO_TIME");
+                    noteRequest(recorder, 2, "two", Recorder.EventType.REFUSED, "NO_TIME");
+                    noteRequest(recorder, 3, "three", Recorder.EventType.SERVED, null);
                 })
                 .get();
         assertTrue(recorder.dump().get(10, TimeUnit.SECONDS));
-        String causes = explained(file, Explain::causes);
+        String causes = explain(file, Explain::printCauses);
         assertTrue(causes.contains("       2        0.0  ask, refused, NO_TIME, RESET\n"), causes);
         assertTrue(causes.contains("       1        0.0  ask, served, -, RESET\n"), causes);
         assertTrue(causes.contains("       3       10.0  read, kept, RESET\n"), causes);
-        String two = explained(file, e -> assertTrue(e.request("two")));
-        assertTrue(two.startsWith("request two ask s1 500, number 2, from 1970-01-01T00:00:00Z\n"), two);
-        assertTrue(two.contains("connection attempt 0 r1 kept (40.000 ms)\n"), two);
-        assertEquals(explained(file, e -> assertFalse(e.request("four"))), "");
+        String secondRequest = explain(file, e -> assertTrue(e.printRequest("two")));
+        assertTrue(
+                secondRequest.startsWith("request two ask s1 500, number 2, from 1970-01-01T00:00:00Z\n"),
+                secondRequest);
+        assertTrue(secondRequest.contains("connection attempt 0 r1 kept (40.000 ms)\n"), secondRequest);
+        assertEquals(explain(file, e -> assertFalse(e.printRequest("four"))), "");
 
         // truncated within the last event, as on a full disk
         byte[] whole = Files.readAllBytes(file);
@@ -136,23 +142,25 @@
     @Test
     public void aBrokenRuleIsWrittenAtOnce() throws Exception {
         Path file = Files.createTempDirectory("recorder").resolve("log");
-        FileRecorder recorder = new FileRecorder(turns, Clock.fixed(Instant.EPOCH, ZoneOffset.UTC), "n3", file, 8192);
-        turns.submit(() -> {
+        FileRecorder recorder =
+                new FileRecorder(scheduler, Clock.fixed(Instant.EPOCH, ZoneOffset.UTC), "n3", file, 8192);
+        scheduler
+                .submit(() -> {
                     for (int i = 1; i < 9; i++) {
-                        recorder.note(Recorder.What.RULE, i, 0, null, "late", null);
+                        recorder.note(Recorder.EventType.RULE, i, 0, null, "late", null);
                     }
                 })
                 .get();
-        long until = System.nanoTime() + 10_000_000_000L;
-        while (!Files.exists(file) && System.nanoTime() < until) {
+        long deadlineNanos = System.nanoTime() + 10_000_000_000L;
+        while (!Files.exists(file) && System.nanoTime() < deadlineNanos) {
             Thread.onSpinWait();
         }
         assertEquals(Recording.read(file).events().size(), 1, "only the first event makes it write within a minute");
     }
 
     @Test
-    public void aDiskThatIsNotThereHoldsNothingUp() throws Exception {
-        FileRecorder recorder = new FileRecorder(turns, Clock.systemUTC(), "n3", Path.of("/nowhere/log"), 8192);
+    public void aMissingFolderIsReported() throws Exception {
+        FileRecorder recorder = new FileRecorder(scheduler, Clock.systemUTC(), "n3", Path.of("/nowhere/log"), 8192);
         assertFalse(recorder.dump().get(10, TimeUnit.SECONDS));
     }
 }
--- a/src/test/java/copperbeam/routing/ActorTest.java
+++ b/src/test/java/copperbeam/routing/ActorTest.java
@@ -21,14 +21,14 @@
      * descriptor is left. Otherwise it and all its requests would stop for good.
      */
     @Test(dataProvider = "faults")
-    public void anActorOutlivesWhateverAMessageMeets(Throwable fault) throws Exception {
-        ScheduledThreadPoolExecutor turns = new ScheduledThreadPoolExecutor(1);
-        CompletableFuture<String> heard = new CompletableFuture<>();
-        Actor<String> actor = new Actor<>(turns) {
+    public void anActorOutlivesFailingMessages(Throwable fault) throws Exception {
+        ScheduledThreadPoolExecutor scheduler = new ScheduledThreadPoolExecutor(1);
+        CompletableFuture<String> received = new CompletableFuture<>();
+        Actor<String> actor = new Actor<>(scheduler) {
             @Override
             protected void receive(String message) {
                 if (!message.equals("faulty")) {
-                    heard.complete(message);
+                    received.complete(message);
                 } else if (fault instanceof Error e) {
                     throw e;
                 } else {
@@ -38,7 +38,7 @@
         };
         actor.tell("faulty");
         actor.tell("next");
-        assertEquals(heard.get(5, TimeUnit.SECONDS), "next");
-        turns.shutdownNow();
+        assertEquals(received.get(5, TimeUnit.SECONDS), "next");
+        scheduler.shutdownNow();
     }
 }
--- a/src/test/java/copperbeam/routing/CutTest.java
+++ b/src/test/java/copperbeam/routing/CutTest.java
@@ -37,35 +37,36 @@
     }
 
     @Test(dataProvider = "orders")
-    public void whatHasEndedIsPassedOnWhole(String order, String told) throws Exception {
-        ScheduledThreadPoolExecutor turns = new ScheduledThreadPoolExecutor(1);
+    public void whatHasEndedIsPassedOnWhole(String steps, String expectedCalls) throws Exception {
+        ScheduledThreadPoolExecutor scheduler = new ScheduledThreadPoolExecutor(1);
         try {
-            StringBuilder heard = new StringBuilder();
-            Answer answer = (Answer) Proxy.newProxyInstance(
+            StringBuilder received = new StringBuilder();
+            ResponseSink response = (ResponseSink) Proxy.newProxyInstance(
                     getClass().getClassLoader(),
-                    new Class<?>[] {Answer.class},
+                    new Class<?>[] {ResponseSink.class},
                     (proxy, method, args) -> switch (method.getName()) {
                         case "gone" -> false;
                         case "event" ->
-                            heard.append(new String((byte[]) args[0], StandardCharsets.US_ASCII))
+                            received.append(new String((byte[]) args[0], StandardCharsets.US_ASCII))
                                             .append(' ')
                                     != null;
-                        default -> heard.append(method.getName()).append(' ').isEmpty() ? null : null;
+                        default -> received.append(method.getName()).append(' ').isEmpty() ? null : null;
                     });
-            int[] crowded = {0};
-            Answer crowd = (Answer) Proxy.newProxyInstance(
+            int[] crowdCalls = {0};
+            ResponseSink crowdResponse = (ResponseSink) Proxy.newProxyInstance(
                     getClass().getClassLoader(),
-                    new Class<?>[] {Answer.class},
+                    new Class<?>[] {ResponseSink.class},
                     (proxy, method, args) ->
-                            ++crowded[0] < 100 || heard.append("crowd ") != null); // their clients have all gone
-            Connector.Listener[] listener = new Connector.Listener[1];
+                            ++crowdCalls[0] < 100 || received.append("crowd ") != null); // their clients have all gone
+            Connector.CallListener[] callListener = new Connector.CallListener[1];
             Connector.Connection connection = (Connector.Connection) Proxy.newProxyInstance(
                     getClass().getClassLoader(), new Class<?>[] {Connector.Connection.class}, (proxy, method, args) -> {
-                        listener[0] = method.getName().equals("call") ? (Connector.Listener) args[1] : listener[0];
+                        callListener[0] =
+                                method.getName().equals("call") ? (Connector.CallListener) args[1] : callListener[0];
                         if (method.getName().equals("readOut")) {
-                            if (order.startsWith("unread")) {
-                                listener[0].event("2".getBytes(StandardCharsets.US_ASCII));
-                                listener[0].end(true, Double.NaN);
+                            if (steps.startsWith("unread")) {
+                                callListener[0].event("2".getBytes(StandardCharsets.US_ASCII));
+                                callListener[0].end(true, Double.NaN);
                             }
                             ((Runnable) args[0]).run();
                         }
@@ -76,28 +77,28 @@
             Duration minute = Duration.ofMinutes(1);
             Clock clock = Clock.systemUTC();
             Metrics metrics = new Metrics(List.of("c"));
-            ReleaseActor releases = new ReleaseActor(turns, clock, minute);
+            ReleaseActor releases = new ReleaseActor(scheduler, clock, minute);
             Api.Settings settings = new Api.Settings(
                     1,
                     0,
-                    List.of(new Api.RequestClass("c", 1, 0, 1, Api.Effect.SAFE, Api.Group.ALL, 0)),
+                    List.of(new Api.RequestClass("c", 1, 0, 1, Api.Repeats.SAFE, Api.DedupScope.ALL, 0)),
                     List.of(),
                     List.of(),
                     new Api.Limits(4, true, false, 1),
                     new Api.Rules(1, 0, 1, 1, 1, 1),
-                    Api.Reports.NEVER,
+                    Api.ReportTiming.NEVER,
                     false,
                     0,
                     true,
                     true);
-            ModuleActor module = new ModuleActor(turns, clock, settings, 7, releases, Recorder.NONE, metrics);
+            ModuleActor module = new ModuleActor(scheduler, clock, settings, 7, releases, Recorder.NONE, metrics);
             PeerActor peer = new PeerActor(
-                    turns,
+                    scheduler,
                     "s",
                     new InetSocketAddress("127.0.0.1", 1),
                     new PeerActor.Setup(
                             clock,
-                            (to, timeout, watcher) -> watcher.up(connection),
+                            (address, timeout, connectionListener) -> connectionListener.connected(connection),
                             minute,
                             minute,
                             minute,
@@ -105,46 +106,48 @@
                             releases,
                             Recorder.NONE,
                             metrics));
-            module.tell(new ModuleActor.Listed(
+            module.tell(new ModuleActor.ServersListed(
                     Api.ListKind.FULL,
                     List.of(new Api.Member("s", "z", "k", 0, Api.ServerState.READY, 1, 0)),
                     Map.of("s", peer),
                     null));
-            Ask ask = new Ask("id", "c", "k", null, 1, 0, 1, clock.instant().plus(minute), false, null);
-            module.arrive(ask, answer);
-            settle(turns);
-            listener[0].word(Connector.Word.STREAM, null);
-            listener[0].event("1".getBytes(StandardCharsets.US_ASCII));
-            settle(turns);
-            assertEquals(heard.toString(), "begin 1 ");
-            turns.submit(() -> {
-                        for (String step : order.split(" ")) {
+            RequestSpec spec = new RequestSpec(
+                    "id", "c", "k", null, 1, 0, 1, clock.instant().plus(minute), false, null);
+            module.submit(spec, response);
+            runPendingTurns(scheduler);
+            callListener[0].answerClassified(Connector.AnswerKind.STREAM, null);
+            callListener[0].event("1".getBytes(StandardCharsets.US_ASCII));
+            runPendingTurns(scheduler);
+            assertEquals(received.toString(), "begin 1 ");
+            scheduler
+                    .submit(() -> {
+                        for (String step : steps.split(" ")) {
                             switch (step) {
                                 case "unread" -> {}
-                                case "cut" -> module.tell(new ModuleActor.Cut());
+                                case "cut" -> module.tell(new ModuleActor.TransferStreams());
                                 case "crowd" -> {
                                     for (int i = 0; i < 100; i++) {
-                                        module.arrive(ask, crowd);
+                                        module.submit(spec, crowdResponse);
                                     }
                                 }
-                                case "event" -> listener[0].event("2".getBytes(StandardCharsets.US_ASCII));
-                                case "end" -> listener[0].end(true, Double.NaN);
-                                default -> listener[0].broken(true);
+                                case "event" -> callListener[0].event("2".getBytes(StandardCharsets.US_ASCII));
+                                case "end" -> callListener[0].end(true, Double.NaN);
+                                default -> callListener[0].broken(true);
                             }
                         }
                     })
                     .get();
-            settle(turns);
-            assertEquals(heard.toString().strip(), told);
+            runPendingTurns(scheduler);
+            assertEquals(received.toString().strip(), expectedCalls);
         } finally {
-            turns.shutdownNow();
+            scheduler.shutdownNow();
         }
     }
 
     /** Runs enough turns for all actors, since each turn of one may schedule a turn of another. */
-    private static void settle(ScheduledThreadPoolExecutor turns) throws Exception {
+    private static void runPendingTurns(ScheduledThreadPoolExecutor scheduler) throws Exception {
         for (int i = 0; i < 20; i++) {
-            turns.submit(() -> {}).get();
+            scheduler.submit(() -> {}).get();
         }
     }
 }
--- a/src/test/java/copperbeam/routing/FinalAnswerTest.java
+++ b/src/test/java/copperbeam/routing/FinalAnswerTest.java
@@ -31,21 +31,21 @@
              "rules":{"cold_from":0.28,"warm_within_s":13,"fall_multiple":3,"fall_s":2},
              "report":{"via":"on_probe"}}
             """;
-    private static final Duration TIME = Duration.ofMillis(300);
+    private static final Duration TIMEOUT = Duration.ofMillis(300);
     private static final Duration SLACK = Duration.ofMillis(500); // after the deadline; a later answer fails the test
 
     /** Records how the request ended; on demand it throws when it gets the final answer. */
-    private static final class Client implements Answer {
+    private static final class Client implements ResponseSink {
         final LinkedBlockingQueue<String> ends = new LinkedBlockingQueue<>();
-        final boolean fails;
+        final boolean throwsAtEnd;
 
-        Client(boolean fails) {
-            this.fails = fails;
+        Client(boolean throwsAtEnd) {
+            this.throwsAtEnd = throwsAtEnd;
         }
 
-        private void end(String how) {
-            ends.add(how);
-            if (fails) {
+        private void end(String ending) {
+            ends.add(ending);
+            if (throwsAtEnd) {
                 throw new IllegalStateException("its connection is broken");
             }
         }
@@ -54,7 +54,7 @@
         public void begin() {}
 
         @Override
-        public boolean event(byte[] raw, Runnable drained) {
+        public boolean event(byte[] eventBytes, Runnable onDrained) {
             return true;
         }
 
@@ -74,45 +74,45 @@
         }
 
         @Override
-        public void fail(Failure why) {
-            end(why.name());
+        public void fail(Failure reason) {
+            end(reason.name());
         }
     }
 
     private final Clock clock = Clock.systemUTC();
-    private ScheduledThreadPoolExecutor turns;
+    private ScheduledThreadPoolExecutor scheduler;
     private ModuleActor module;
 
     @BeforeMethod
     @SuppressWarnings("unchecked")
-    public void begin() throws Exception {
-        turns = new ScheduledThreadPoolExecutor(1);
+    public void setUp() throws Exception {
+        scheduler = new ScheduledThreadPoolExecutor(1);
         Api.Settings settings = Decoder.settings((Map<String, Object>) Json.GSON.fromJson(SETTINGS, Map.class));
-        ReleaseActor releases = new ReleaseActor(turns, clock, Duration.ofMinutes(1));
-        module = new ModuleActor(turns, clock, settings, 7, releases, Recorder.NONE, new Metrics(List.of("ask")));
+        ReleaseActor releases = new ReleaseActor(scheduler, clock, Duration.ofMinutes(1));
+        module = new ModuleActor(scheduler, clock, settings, 7, releases, Recorder.NONE, new Metrics(List.of("ask")));
     }
 
     @AfterMethod
-    public void end() {
-        turns.shutdownNow();
+    public void tearDown() {
+        scheduler.shutdownNow();
     }
 
-    private Ask ask(String id, Duration time) {
-        return new Ask(id, "ask", "k", null, 40, 0, 9, clock.instant().plus(time), false, null);
+    private RequestSpec newRequest(String id, Duration timeout) {
+        return new RequestSpec(id, "ask", "k", null, 40, 0, 9, clock.instant().plus(timeout), false, null);
     }
 
-    private void listed(Map<String, PeerActor> peers) {
+    private void listServer(Map<String, PeerActor> peers) {
         Api.Member member = new Api.Member("s", "z", "one", 0, Api.ServerState.READY, 1, 0);
-        module.tell(new ModuleActor.Listed(Api.ListKind.FULL, List.of(member), peers, null));
+        module.tell(new ModuleActor.ServersListed(Api.ListKind.FULL, List.of(member), peers, null));
     }
 
     /** The actor fails to start an attempt that the module has asked for, so that no outcome ever comes. */
     @Test
     public void aRequestWhoseAttemptFailsHereIsAnsweredByItsTime() throws Exception {
-        listed(Map.of()); // the module knows a server that has no peer
+        listServer(Map.of()); // the module knows a server that has no peer
         Client client = new Client(false);
-        module.arrive(ask("a", TIME), client);
-        assertTrue(client.ends.poll(TIME.plus(SLACK).toMillis(), TimeUnit.MILLISECONDS) != null, "no answer");
+        module.submit(newRequest("a", TIMEOUT), client);
+        assertTrue(client.ends.poll(TIMEOUT.plus(SLACK).toMillis(), TimeUnit.MILLISECONDS) != null, "no answer");
         CountDownLatch idle = new CountDownLatch(1);
         module.tell(new ModuleActor.Drain(idle::countDown));
         assertTrue(idle.await(1, TimeUnit.SECONDS), "the request is still open");
@@ -122,29 +122,29 @@
     /** The peer fails on every message once its attempt is in flight, as in a process that is out of file descriptors. */
     @Test
     public void anAttemptWhoseOutcomeIsLostEndsAllTheSame() throws Exception {
-        Broken peersClock = new Broken();
-        Connector connector = (to, timeout, watcher) -> peersClock.broken = true;
-        ReleaseActor releases = new ReleaseActor(turns, clock, Duration.ofMinutes(1));
+        FailingClock peersClock = new FailingClock();
+        Connector connector = (to, timeout, watcher) -> peersClock.fails = true;
+        ReleaseActor releases = new ReleaseActor(scheduler, clock, Duration.ofMinutes(1));
         Duration never = Duration.ofDays(1);
         Metrics metrics = new Metrics(List.of("ask"));
         PeerActor.Setup setup = new PeerActor.Setup(
                 peersClock, connector, never, never, never, module, releases, Recorder.NONE, metrics);
-        listed(Map.of("s", new PeerActor(turns, "s", new InetSocketAddress("127.0.0.1", 1), setup)));
+        listServer(Map.of("s", new PeerActor(scheduler, "s", new InetSocketAddress("127.0.0.1", 1), setup)));
         Client client = new Client(false);
-        module.arrive(ask("a", TIME), client);
-        assertTrue(client.ends.poll(TIME.plus(SLACK).toMillis(), TimeUnit.MILLISECONDS) != null, "no answer");
+        module.submit(newRequest("a", TIMEOUT), client);
+        assertTrue(client.ends.poll(TIMEOUT.plus(SLACK).toMillis(), TimeUnit.MILLISECONDS) != null, "no answer");
         CountDownLatch idle = new CountDownLatch(1);
         module.tell(new ModuleActor.Drain(idle::countDown));
         assertTrue(idle.await(3, TimeUnit.SECONDS), "the attempt is still in flight");
-        assertTrue(peersClock.broken);
+        assertTrue(peersClock.fails);
     }
 
-    private static final class Broken extends Clock {
-        volatile boolean broken;
+    private static final class FailingClock extends Clock {
+        volatile boolean fails;
 
         @Override
         public Instant instant() {
-            if (broken) {
+            if (fails) {
                 throw new NoClassDefFoundError("a class that could not be read");
             }
             return Instant.now();
@@ -164,12 +164,12 @@
     /** Sending the final answer throws: the request ends all the same, and the next one gets its answer. */
     @Test
     public void anAnswerThatFailsLosesNoOther() throws Exception {
-        Client broken = new Client(true);
-        Client next = new Client(false);
-        module.arrive(ask("a", Duration.ZERO), broken);
-        module.arrive(ask("a", Duration.ZERO), next); // its id is free again
-        assertEquals(broken.ends.poll(1, TimeUnit.SECONDS), "refused");
-        assertEquals(next.ends.poll(1, TimeUnit.SECONDS), "refused");
+        Client failingClient = new Client(true);
+        Client nextClient = new Client(false);
+        module.submit(newRequest("a", Duration.ZERO), failingClient);
+        module.submit(newRequest("a", Duration.ZERO), nextClient); // its id is free again
+        assertEquals(failingClient.ends.poll(1, TimeUnit.SECONDS), "refused");
+        assertEquals(nextClient.ends.poll(1, TimeUnit.SECONDS), "refused");
         CountDownLatch idle = new CountDownLatch(1);
         module.tell(new ModuleActor.Drain(idle::countDown));
         assertTrue(idle.await(1, TimeUnit.SECONDS), "the request is still open");
--- a/src/test/java/copperbeam/routing/HeldStateTest.java
+++ b/src/test/java/copperbeam/routing/HeldStateTest.java
@@ -42,34 +42,34 @@
  */
 public class HeldStateTest {
     /** How a server behaves. A release that any server receives releases all states held for its request. */
-    private enum Nature {
-        WELL(true),
+    private enum Behaviour {
+        HEALTHY(true),
         FULL(true),
         /** Resets the connection after the last byte of the request, without an answer. */
-        RESETS(true),
+        RESETS_AFTER_REQUEST(true),
         /** Completes the read just as the connection breaks. */
-        RESETS_AS_READ(true),
-        REFUSES(false),
-        VANISHED(false),
-        HANGS(false),
+        RESETS_AS_READ_ENDS(true),
+        REFUSES_CONNECTIONS(false),
+        UNREACHABLE(false),
+        NEVER_ANSWERS(false),
         /** Its connections break before the last byte of the request was sent. */
-        BREAKS(false),
+        BREAKS_BEFORE_LAST_BYTE(false),
         /** Unreachable as soon as a connection is up: nothing arrives. */
-        DIES(false),
+        CUT_OFF_AFTER_CONNECT(false),
         /** Slow but healthy. Connections opened before {@link #SILENT_FROM} carry nothing after it; new connections work. */
-        FORGETS_CONNECTIONS(true),
+        SILENCES_OLD_CONNECTIONS(true),
         /** Cut off from the network once it has the request, without noticing it: the read succeeds, soon or late. */
         READS_CUT_OFF(false),
         READS_LATE_CUT_OFF(false);
 
-        final boolean hears;
+        final boolean answersReleases;
 
-        Nature(boolean hears) {
-            this.hears = hears;
+        Behaviour(boolean answersReleases) {
+            this.answersReleases = answersReleases;
         }
     }
 
-    private static final Logger ROUTING = Logger.getLogger("copperbeam.routing");
+    private static final Logger ROUTING_LOG = Logger.getLogger("copperbeam.routing");
 
     private enum End {
         NONE,
@@ -78,43 +78,43 @@
     }
 
     /** Delays in the process, as under CPU starvation or a burst of requests. */
-    private enum Slow {
-        NOT(0, 0),
+    private enum Slowness {
+        NONE(0, 0),
         BUSY(300, 0),
         BUSIER(450, 0),
         BUSY_AT_HALF(150, 0),
         BUSIER_AT_HALF(250, 0),
-        TIMERS(0, 150);
+        LATE_TIMERS(0, 150);
 
-        final Duration moduleBusy;
-        final Duration timersLate;
+        final Duration moduleDelay;
+        final Duration timerDelay;
 
-        Slow(long moduleBusyMs, long timersLateMs) {
-            moduleBusy = Duration.ofMillis(moduleBusyMs);
-            timersLate = Duration.ofMillis(timersLateMs);
+        Slowness(long moduleDelayMs, long timerDelayMs) {
+            moduleDelay = Duration.ofMillis(moduleDelayMs);
+            timerDelay = Duration.ofMillis(timerDelayMs);
         }
     }
 
-    private static final Duration HEAR = Duration.ofMillis(1); // network delay, one way
-    private static final Duration SLOW_ANSWER = Duration.ofMillis(600);
-    private static final Duration FORGETS_AT = Duration.ofSeconds(1);
-    private static final Duration READ = Duration.ofMillis(50);
-    private static final Duration LATE_READ = Duration.ofMillis(2600);
+    private static final Duration ONE_WAY_DELAY = Duration.ofMillis(1); // network delay, one way
+    private static final Duration SLOW_ANSWER_TIME = Duration.ofMillis(600);
+    private static final Duration SILENT_FROM = Duration.ofSeconds(1);
+    private static final Duration READ_TIME = Duration.ofMillis(50);
+    private static final Duration LATE_READ_TIME = Duration.ofMillis(2600);
     private static final Duration SLACK = Duration.ofMillis(350);
     private static final Duration HORIZON = Duration.ofSeconds(8);
-    private static final Duration WAITS = Duration.ofSeconds(4); // until the client's deadline
-    private static final long TEST_MS = 20_000; // guards against a simulation whose time doesn't advance
-    private static final int MOST_CONNECTS = 500;
-    private static final String ID = "id";
+    private static final Duration CLIENT_WAIT = Duration.ofSeconds(4); // until the client's deadline
+    private static final long TEST_TIMEOUT_MS = 20_000; // guards against a simulation whose time doesn't advance
+    private static final int MAX_CONNECTS = 500;
+    private static final String REQUEST_ID = "id";
 
-    private static final class Due extends FutureTask<Void> implements ScheduledFuture<Void> {
-        final Duration at;
-        final long order;
+    private static final class SimulatedTask extends FutureTask<Void> implements ScheduledFuture<Void> {
+        final Duration dueAt;
+        final long sequence;
 
-        Due(Duration at, long order, Runnable task) {
+        SimulatedTask(Duration dueAt, long sequence, Runnable task) {
             super(task, null);
-            this.at = at;
-            this.order = order;
+            this.dueAt = dueAt;
+            this.sequence = sequence;
         }
 
         @Override
@@ -124,85 +124,87 @@
 
         @Override
         public int compareTo(Delayed other) {
-            Due o = (Due) other;
-            return at.equals(o.at) ? Long.compare(order, o.order) : at.compareTo(o.at);
+            SimulatedTask otherTask = (SimulatedTask) other;
+            return dueAt.equals(otherTask.dueAt)
+                    ? Long.compare(sequence, otherTask.sequence)
+                    : dueAt.compareTo(otherTask.dueAt);
         }
     }
 
     /** Simulated time, servers and the states that they hold. */
     private static final class World extends Clock implements Connector {
-        final PriorityQueue<Due> dues = new PriorityQueue<>();
-        final Nature[] natures;
-        final int readers;
-        final Duration within;
-        final Set<Integer> cutOff = new HashSet<>();
-        boolean ended; // the process has ended
-        Duration endedAt = HORIZON;
-        final ScheduledExecutorService turns;
-        final ScheduledExecutorService moduleTurns;
+        final PriorityQueue<SimulatedTask> tasks = new PriorityQueue<>();
+        final Behaviour[] behaviours;
+        final int readerCount;
+        final Duration maxHeld;
+        final Set<Integer> cutOffServers = new HashSet<>();
+        boolean processEnded; // the process has ended
+        Duration processEndedAt = HORIZON;
+        final ScheduledExecutorService scheduler;
+        final ScheduledExecutorService moduleScheduler;
         Duration now = Duration.ZERO;
-        long order;
+        long nextSequence;
         Duration heldSince; // null if no state is held
-        Duration lastEnd = Duration.ZERO; // of an attempt that had a connection
-        int out; // attempts in flight that arrived at their server
-        int connects;
-        boolean sent; // whether any attempt was ever sent
-        String broken;
-
-        World(Nature[] natures, int readers, double releaseS, Slow slow) {
-            this.natures = natures;
-            turns = turns(Duration.ZERO, slow.timersLate);
-            moduleTurns = turns(slow.moduleBusy, slow.timersLate);
-            this.readers = readers;
-            within = ModuleTime.span(releaseS).plus(SLACK);
+        Duration lastAttemptEnd = Duration.ZERO; // of an attempt that had a connection
+        int attemptsInFlight; // attempts in flight that arrived at their server
+        int connectCount;
+        boolean attemptSent; // whether any attempt was ever sent
+        String fault;
+
+        World(Behaviour[] behaviours, int readerCount, double releaseS, Slowness slowness) {
+            this.behaviours = behaviours;
+            scheduler = newScheduler(Duration.ZERO, slowness.timerDelay);
+            moduleScheduler = newScheduler(slowness.moduleDelay, slowness.timerDelay);
+            this.readerCount = readerCount;
+            maxHeld = ModuleTime.duration(releaseS).plus(SLACK);
         }
 
         /** {@code turnDelay}: how long each mailbox waits for its turn; {@code timerDelay}: by how much all timers fire late. */
-        ScheduledExecutorService turns(Duration busy, Duration late) {
+        ScheduledExecutorService newScheduler(Duration turnDelay, Duration timerDelay) {
             return (ScheduledExecutorService) Proxy.newProxyInstance(
                     getClass().getClassLoader(),
                     new Class<?>[] {ScheduledExecutorService.class},
-                    (proxy, method, args) -> later(
+                    (proxy, method, args) -> schedule(
                             method.getName().equals("schedule")
-                                    ? Duration.ofNanos((Long) args[1]).plus(late)
-                                    : busy,
+                                    ? Duration.ofNanos((Long) args[1]).plus(timerDelay)
+                                    : turnDelay,
                             () -> {
-                                if (!ended) {
+                                if (!processEnded) {
                                     ((Runnable) args[0]).run();
                                 }
                             }));
         }
 
-        Due later(Duration after, Runnable task) {
-            Due due = new Due(now.plus(after), order++, task);
-            dues.add(due);
-            return due;
+        SimulatedTask schedule(Duration delay, Runnable task) {
+            SimulatedTask scheduled = new SimulatedTask(now.plus(delay), nextSequence++, task);
+            tasks.add(scheduled);
+            return scheduled;
         }
 
-        void play() throws Exception {
-            while (!dues.isEmpty() && dues.peek().at.compareTo(HORIZON) < 0) {
-                step();
+        void runToHorizon() throws Exception {
+            while (!tasks.isEmpty() && tasks.peek().dueAt.compareTo(HORIZON) < 0) {
+                runNextTask();
             }
             now = HORIZON;
-            check();
+            checkHeldTime();
         }
 
-        void step() throws Exception {
-            Due due = dues.poll();
-            now = due.at;
-            check();
-            if (!due.isCancelled()) {
-                due.run();
-                due.get();
+        void runNextTask() throws Exception {
+            SimulatedTask next = tasks.poll();
+            now = next.dueAt;
+            checkHeldTime();
+            if (!next.isCancelled()) {
+                next.run();
+                next.get();
             }
         }
 
-        void check() {
-            if (heldSince != null && out == 0 && broken == null) {
-                Duration since = heldSince.compareTo(lastEnd) > 0 ? heldSince : lastEnd;
-                if (now.minus(since).compareTo(within) > 0) {
-                    broken = "held since " + heldSince + ", last end " + lastEnd
-                            + (ended ? ", the process has ended" : "");
+        void checkHeldTime() {
+            if (heldSince != null && attemptsInFlight == 0 && fault == null) {
+                Duration leaseStart = heldSince.compareTo(lastAttemptEnd) > 0 ? heldSince : lastAttemptEnd;
+                if (now.minus(leaseStart).compareTo(maxHeld) > 0) {
+                    fault = "held since " + heldSince + ", last end " + lastAttemptEnd
+                            + (processEnded ? ", the process has ended" : "");
                 }
             }
         }
@@ -223,144 +225,145 @@
         }
 
         @Override
-        public void connect(InetSocketAddress to, Duration timeout, Watcher watcher) {
-            int server = to.getPort();
-            if (++connects > MOST_CONNECTS) {
-                broken = "too many connection attempts";
+        public void connect(InetSocketAddress address, Duration timeout, ConnectionListener listener) {
+            int server = address.getPort();
+            if (++connectCount > MAX_CONNECTS) {
+                fault = "too many connection attempts";
             }
-            if (natures[server] == Nature.REFUSES) {
-                later(HEAR, watcher::failed);
-            } else if (natures[server] != Nature.VANISHED && !cutOff.contains(server)) {
-                later(HEAR, () -> watcher.up(new Link(server)));
+            if (behaviours[server] == Behaviour.REFUSES_CONNECTIONS) {
+                schedule(ONE_WAY_DELAY, listener::connectFailed);
+            } else if (behaviours[server] != Behaviour.UNREACHABLE && !cutOffServers.contains(server)) {
+                schedule(ONE_WAY_DELAY, () -> listener.connected(new SimulatedConnection(server)));
             }
         }
 
-        private final class Link implements Connection {
+        private final class SimulatedConnection implements Connection {
             final int server;
-            final Nature nature;
+            final Behaviour behaviour;
             boolean open = true;
-            boolean attempt; // an attempt is in flight on this connection
-            final Duration opened = now;
-            Runnable goes;
+            boolean attemptInFlight; // an attempt is in flight on this connection
+            final Duration openedAt = now;
+            Runnable sendLastByte;
 
-            Link(int server) {
+            SimulatedConnection(int server) {
                 this.server = server;
-                nature = natures[server];
+                behaviour = behaviours[server];
             }
 
             @Override
-            public void call(Call call, Listener listener) {
-                if (nature == Nature.BREAKS) {
-                    later(HEAR, () -> breaks(listener, false));
-                } else if (call instanceof AttemptCall a) {
-                    goes = () -> {
-                        sent = true;
-                        later(HEAR, () -> arrived(listener));
+            public void call(Call call, CallListener listener) {
+                if (behaviour == Behaviour.BREAKS_BEFORE_LAST_BYTE) {
+                    schedule(ONE_WAY_DELAY, () -> breakConnection(listener, false));
+                } else if (call instanceof AttemptCall attemptCall) {
+                    sendLastByte = () -> {
+                        attemptSent = true;
+                        schedule(ONE_WAY_DELAY, () -> onAttemptArrived(listener));
                     };
-                    if (a.hold()) {
-                        listener.held();
+                    if (attemptCall.holdLastByte()) {
+                        listener.lastByteHeld();
                     } else {
-                        let();
+                        sendLastByte();
                     }
                 } else {
-                    later(HEAR, () -> heard(call, listener));
+                    schedule(ONE_WAY_DELAY, () -> onOtherCall(call, listener));
                 }
             }
 
             /** Whether nothing arrives, without any error. */
-            boolean silent() {
-                return cutOff.contains(server)
-                        || nature == Nature.HANGS
-                        || nature == Nature.DIES
-                        || nature == Nature.FORGETS_CONNECTIONS
-                                && opened.compareTo(FORGETS_AT) < 0
-                                && now.compareTo(FORGETS_AT) > 0;
+            boolean isSilent() {
+                return cutOffServers.contains(server)
+                        || behaviour == Behaviour.NEVER_ANSWERS
+                        || behaviour == Behaviour.CUT_OFF_AFTER_CONNECT
+                        || behaviour == Behaviour.SILENCES_OLD_CONNECTIONS
+                                && openedAt.compareTo(SILENT_FROM) < 0
+                                && now.compareTo(SILENT_FROM) > 0;
             }
 
-            void heard(Call call, Listener listener) {
-                if (silent()) {
+            void onOtherCall(Call call, CallListener listener) {
+                if (isSilent()) {
                     return;
                 }
                 if (call instanceof ReleaseCall) {
                     heldSince = null;
                 }
-                answer(Word.HEARD, listener);
+                reply(AnswerKind.HEARD, listener);
             }
 
-            void arrived(Listener listener) {
-                if (!open || silent()) {
-                    return; // an attempt that no running server has read does not count as in flight and extends no lease
+            void onAttemptArrived(CallListener listener) {
+                if (!open || isSilent()) {
+                    return; // an attempt that no running server has read does not count as in flight and extends no
+                    // lease
                 }
-                attempt = true;
-                out++;
-                switch (nature) {
-                    case WELL -> {
-                        if (server < readers) {
-                            after(READ, () -> {
-                                hold();
-                                answer(Word.READ, listener);
+                attemptInFlight = true;
+                attemptsInFlight++;
+                switch (behaviour) {
+                    case HEALTHY -> {
+                        if (server < readerCount) {
+                            afterUnlessEnded(READ_TIME, () -> {
+                                holdState();
+                                reply(AnswerKind.READ, listener);
                             });
                         } else {
-                            write(listener);
+                            answerWrite(listener);
                         }
                     }
-                    case FORGETS_CONNECTIONS -> after(SLOW_ANSWER, () -> write(listener));
-                    case FULL -> answer(Word.TURNED_AWAY, listener);
-                    case RESETS -> after(HEAR, () -> breaks(listener, true));
-                    case RESETS_AS_READ ->
-                        after(READ, () -> {
-                            hold();
-                            breaks(listener, true);
+                    case SILENCES_OLD_CONNECTIONS -> afterUnlessEnded(SLOW_ANSWER_TIME, () -> answerWrite(listener));
+                    case FULL -> reply(AnswerKind.TURNED_AWAY, listener);
+                    case RESETS_AFTER_REQUEST -> afterUnlessEnded(ONE_WAY_DELAY, () -> breakConnection(listener, true));
+                    case RESETS_AS_READ_ENDS ->
+                        afterUnlessEnded(READ_TIME, () -> {
+                            holdState();
+                            breakConnection(listener, true);
                         });
                     case READS_CUT_OFF, READS_LATE_CUT_OFF -> {
-                        cutOff.add(server);
-                        later(nature == Nature.READS_CUT_OFF ? READ : LATE_READ, this::hold);
+                        cutOffServers.add(server);
+                        schedule(behaviour == Behaviour.READS_CUT_OFF ? READ_TIME : LATE_READ_TIME, this::holdState);
                     }
                     default -> {}
                 }
             }
 
-            void write(Listener listener) {
+            void answerWrite(CallListener listener) {
                 if (heldSince == null) {
-                    answer(Word.STATE_MISSING, listener);
+                    reply(AnswerKind.STATE_MISSING, listener);
                     return;
                 }
                 heldSince = null;
-                listener.word(Word.STREAM, null);
+                listener.answerClassified(AnswerKind.STREAM, null);
                 listener.event(new byte[1]);
-                answer(Word.STREAM, listener);
+                reply(AnswerKind.STREAM, listener);
             }
 
-            void hold() {
+            void holdState() {
                 heldSince = heldSince == null ? now : heldSince;
             }
 
             /** Runs the task after a delay, unless the attempt has ended before. */
-            void after(Duration span, Runnable task) {
-                later(span, () -> {
-                    if (attempt) {
+            void afterUnlessEnded(Duration delay, Runnable task) {
+                schedule(delay, () -> {
+                    if (attemptInFlight) {
                         task.run();
                     }
                 });
             }
 
-            void answer(Word word, Listener listener) {
-                listener.word(word, null);
-                settle();
-                later(HEAR, () -> listener.end(true, 0));
+            void reply(AnswerKind kind, CallListener listener) {
+                listener.answerClassified(kind, null);
+                endAttempt();
+                schedule(ONE_WAY_DELAY, () -> listener.end(true, 0));
             }
 
-            void breaks(Listener listener, boolean written) {
-                settle();
+            void breakConnection(CallListener listener, boolean lastByteMayHaveLeft) {
+                endAttempt();
                 open = false;
-                listener.broken(written);
+                listener.broken(lastByteMayHaveLeft);
             }
 
-            void settle() {
-                if (attempt) {
-                    attempt = false;
-                    out--;
-                    lastEnd = now;
+            void endAttempt() {
+                if (attemptInFlight) {
+                    attemptInFlight = false;
+                    attemptsInFlight--;
+                    lastAttemptEnd = now;
                 }
             }
 
@@ -370,27 +373,27 @@
             }
 
             @Override
-            public void let() {
-                goes.run();
+            public void sendLastByte() {
+                sendLastByte.run();
             }
 
             @Override
             public void grant(int bytes) {}
 
             @Override
-            public boolean heldBack() {
+            public boolean isReceiveWindowFull() {
                 return false;
             }
 
             @Override
-            public void readOut(Runnable read) {
-                read.run();
+            public void readOut(Runnable then) {
+                then.run();
             }
 
             @Override
             public void close() {
                 open = false;
-                settle();
+                endAttempt();
             }
 
             @Override
@@ -402,32 +405,32 @@
 
     /** The actors of one process whose list has all servers. */
     private record Conductor(ModuleActor module, ReleaseActor releases, Map<String, PeerActor> peers) {
-        static Conductor start(World world, double releaseS, Api.Effect effect, boolean probes) {
+        static Conductor start(World world, double releaseS, Api.Repeats effect, boolean probing) {
             Metrics metrics = new Metrics(List.of("c"));
             Api.Settings settings = new Api.Settings(
                     1,
                     0,
-                    List.of(new Api.RequestClass("c", 1.5, 0, 3, effect, Api.Group.ALL, 9)),
+                    List.of(new Api.RequestClass("c", 1.5, 0, 3, effect, Api.DedupScope.ALL, 9)),
                     List.of(),
-                    List.of(new Api.Kind("r", Role.READER, 1e6), new Api.Kind("w", Role.WRITER, 1e6)),
-                    new Api.Limits(4, true, probes, 1),
+                    List.of(new Api.ServerKind("r", Role.READER, 1e6), new Api.ServerKind("w", Role.WRITER, 1e6)),
+                    new Api.Limits(4, true, probing, 1),
                     new Api.Rules(0, 0, 3, 2, releaseS, 0),
-                    Api.Reports.WITH_PROBES,
+                    Api.ReportTiming.WITH_PROBES,
                     false,
                     0,
                     false,
                     true);
-            ReleaseActor releases = new ReleaseActor(world.turns, world, ModuleTime.span(2 * releaseS));
+            ReleaseActor releases = new ReleaseActor(world.scheduler, world, ModuleTime.duration(2 * releaseS));
             ModuleActor module =
-                    new ModuleActor(world.moduleTurns, world, settings, 7, releases, Recorder.NONE, metrics);
+                    new ModuleActor(world.moduleScheduler, world, settings, 7, releases, Recorder.NONE, metrics);
             Map<String, PeerActor> peers = peersOf(world, setup(world, module, releases, metrics));
             List<Api.Member> members = new ArrayList<>();
-            for (int i = 0; i < world.natures.length; i++) {
-                members.add(
-                        new Api.Member("s" + i, "z", i < world.readers ? "r" : "w", 0, Api.ServerState.READY, 1, 0));
+            for (int i = 0; i < world.behaviours.length; i++) {
+                members.add(new Api.Member(
+                        "s" + i, "z", i < world.readerCount ? "r" : "w", 0, Api.ServerState.READY, 1, 0));
             }
-            module.tell(new ModuleActor.Listed(Api.ListKind.FULL, members, peers, null));
-            releases.tell(new ReleaseActor.Listed(peers));
+            module.tell(new ModuleActor.ServersListed(Api.ListKind.FULL, members, peers, null));
+            releases.tell(new ReleaseActor.ServersListed(peers));
             return new Conductor(module, releases, peers);
         }
     }
@@ -435,21 +438,22 @@
     /** One peer for each server, by the server's id. */
     private static Map<String, PeerActor> peersOf(World world, PeerActor.Setup setup) {
         Map<String, PeerActor> peers = new HashMap<>();
-        for (int i = 0; i < world.natures.length; i++) {
+        for (int i = 0; i < world.behaviours.length; i++) {
             String id = "s" + i;
-            peers.put(id, new PeerActor(world.turns, id, new InetSocketAddress("127.0.0.1", i), setup));
+            peers.put(id, new PeerActor(world.scheduler, id, new InetSocketAddress("127.0.0.1", i), setup));
         }
         return peers;
     }
 
-    private static Ask ask(String id, Duration at) {
-        return new Ask(id, "c", "k", null, 100, 0, 10, Instant.EPOCH.plus(at).plus(WAITS), false, null);
+    private static RequestSpec newRequest(String id, Duration arrival) {
+        return new RequestSpec(
+                id, "c", "k", null, 100, 0, 10, Instant.EPOCH.plus(arrival).plus(CLIENT_WAIT), false, null);
     }
 
-    private static Answer answer(boolean[] gone) {
-        return (Answer) Proxy.newProxyInstance(
+    private static ResponseSink newResponse(boolean[] gone) {
+        return (ResponseSink) Proxy.newProxyInstance(
                 HeldStateTest.class.getClassLoader(),
-                new Class<?>[] {Answer.class},
+                new Class<?>[] {ResponseSink.class},
                 (proxy, method, args) -> switch (method.getName()) {
                     case "gone" -> gone[0];
                     case "event" -> {
@@ -462,84 +466,91 @@
                 });
     }
 
-    private static String play(
-            double releaseS, Api.Effect effect, Slow slow, End end, Duration endAt, int readers, Nature... natures)
+    private static String runCase(
+            double releaseS,
+            Api.Repeats effect,
+            Slowness slowness,
+            End end,
+            Duration endAt,
+            int readerCount,
+            Behaviour... behaviours)
             throws Exception {
-        World world = new World(natures, readers, releaseS, slow);
-        boolean[] gone = {false};
-        Answer answer = answer(gone);
+        World world = new World(behaviours, readerCount, releaseS, slowness);
+        boolean[] clientGone = {false};
+        ResponseSink response = newResponse(clientGone);
         Conductor conductor = Conductor.start(world, releaseS, effect, true);
         ModuleActor module = conductor.module;
         ReleaseActor releases = conductor.releases;
-        module.arrive(ask(ID, Duration.ZERO), answer);
+        module.submit(newRequest(REQUEST_ID, Duration.ZERO), response);
         if (end == End.LEFT) {
-            world.later(endAt, () -> {
-                gone[0] = true;
-                module.left(answer);
+            world.schedule(endAt, () -> {
+                clientGone[0] = true;
+                module.clientGone(response);
             });
         } else if (end == End.STOP) {
-            world.later(endAt, () -> {
-                module.tell(new ModuleActor.HandOver());
+            world.schedule(endAt, () -> {
+                module.tell(new ModuleActor.ExpireOpenRequests());
                 module.tell(new ModuleActor.Drain(() -> releases.tell(new ReleaseActor.Drain(() -> {
-                    world.ended = true;
-                    world.endedAt = world.now;
+                    world.processEnded = true;
+                    world.processEndedAt = world.now;
                 }))));
             });
         }
-        world.play();
+        world.runToHorizon();
         // the client's wait, the rest of release_s, and a last round of releases
-        Duration mostStop = !world.sent
+        Duration latestStop = !world.attemptSent
                 ? endAt.plusSeconds(1)
-                : WAITS.plus(ModuleTime.span(2 * releaseS)).plus(SLACK);
-        if (end == End.STOP && world.broken == null && world.endedAt.compareTo(mostStop) > 0) {
-            return "the shutdown ends late, at " + world.endedAt;
+                : CLIENT_WAIT.plus(ModuleTime.duration(2 * releaseS)).plus(SLACK);
+        if (end == End.STOP && world.fault == null && world.processEndedAt.compareTo(latestStop) > 0) {
+            return "the shutdown ends late, at " + world.processEndedAt;
         }
-        return world.broken;
+        return world.fault;
     }
 
-    private static final Nature[] READERS = {
-        Nature.WELL,
-        Nature.RESETS_AS_READ,
-        Nature.READS_CUT_OFF,
-        Nature.READS_LATE_CUT_OFF,
-        Nature.VANISHED,
-        Nature.HANGS
+    private static final Behaviour[] READERS = {
+        Behaviour.HEALTHY,
+        Behaviour.RESETS_AS_READ_ENDS,
+        Behaviour.READS_CUT_OFF,
+        Behaviour.READS_LATE_CUT_OFF,
+        Behaviour.UNREACHABLE,
+        Behaviour.NEVER_ANSWERS
     };
-    private static final Nature[] OTHER_READERS = {Nature.WELL, Nature.VANISHED, Nature.HANGS};
-    private static final Nature[] WRITERS = {
-        Nature.WELL,
-        Nature.FULL,
-        Nature.RESETS,
-        Nature.REFUSES,
-        Nature.VANISHED,
-        Nature.HANGS,
-        Nature.BREAKS,
-        Nature.DIES
+    private static final Behaviour[] OTHER_READERS = {Behaviour.HEALTHY, Behaviour.UNREACHABLE, Behaviour.NEVER_ANSWERS
+    };
+    private static final Behaviour[] WRITERS = {
+        Behaviour.HEALTHY,
+        Behaviour.FULL,
+        Behaviour.RESETS_AFTER_REQUEST,
+        Behaviour.REFUSES_CONNECTIONS,
+        Behaviour.UNREACHABLE,
+        Behaviour.NEVER_ANSWERS,
+        Behaviour.BREAKS_BEFORE_LAST_BYTE,
+        Behaviour.CUT_OFF_AFTER_CONNECT
     };
     private static final int[] ENDS_MS = {3, 54, 69, 300, 900, 2500};
 
     @BeforeClass
-    public void quiet() {
-        ROUTING.setLevel(Level.WARNING); // thousands of worlds, each with log lines about ejected servers
+    public void silenceLog() {
+        ROUTING_LOG.setLevel(Level.WARNING); // thousands of worlds, each with log lines about ejected servers
     }
 
     @AfterClass
-    public void aloud() {
-        ROUTING.setLevel(null);
+    public void restoreLog() {
+        ROUTING_LOG.setLevel(null);
     }
 
     @DataProvider
     public Object[][] settings() {
         return new Object[][] {
-            {1.0, Api.Effect.SAFE, 0, Slow.NOT},
-            {0.5, Api.Effect.UNSAFE, 0, Slow.NOT},
-            {0.5, Api.Effect.SAFE, 6, Slow.NOT},
-            {1.0, Api.Effect.SAFE, 6, Slow.BUSY},
-            {1.0, Api.Effect.SAFE, 0, Slow.BUSIER},
-            {0.5, Api.Effect.SAFE, 0, Slow.BUSY_AT_HALF},
-            {0.5, Api.Effect.SAFE, 0, Slow.BUSIER_AT_HALF},
-            {1.0, Api.Effect.SAFE, 0, Slow.TIMERS},
-            {0.5, Api.Effect.SAFE, 0, Slow.TIMERS}
+            {1.0, Api.Repeats.SAFE, 0, Slowness.NONE},
+            {0.5, Api.Repeats.UNSAFE, 0, Slowness.NONE},
+            {0.5, Api.Repeats.SAFE, 6, Slowness.NONE},
+            {1.0, Api.Repeats.SAFE, 6, Slowness.BUSY},
+            {1.0, Api.Repeats.SAFE, 0, Slowness.BUSIER},
+            {0.5, Api.Repeats.SAFE, 0, Slowness.BUSY_AT_HALF},
+            {0.5, Api.Repeats.SAFE, 0, Slowness.BUSIER_AT_HALF},
+            {1.0, Api.Repeats.SAFE, 0, Slowness.LATE_TIMERS},
+            {0.5, Api.Repeats.SAFE, 0, Slowness.LATE_TIMERS}
         };
     }
 
@@ -548,39 +559,41 @@
      * leaves or the process shuts down.
      */
     @Test(dataProvider = "settings")
-    public void whatIsHeldIsLetGoInTime(double releaseS, Api.Effect effect, int vanished, Slow slow) throws Exception {
+    public void whatIsHeldIsLetGoInTime(double releaseS, Api.Repeats effect, int unreachableServers, Slowness slowness)
+            throws Exception {
         List<String> faults = new ArrayList<>();
-        Map<Nature, Integer> with = new TreeMap<>();
+        Map<Behaviour, Integer> faultsByBehaviour = new TreeMap<>();
         int cases = 0;
-        Nature[][] choices = {READERS, OTHER_READERS, WRITERS, WRITERS, WRITERS};
-        int all = Stream.of(choices).mapToInt(c -> c.length).reduce(1, (a, b) -> a * b);
-        for (int i = 0; i < all; i++) {
-            int n = i;
-            Nature[] natures = new Nature[choices.length + vanished];
-            Arrays.fill(natures, Nature.VANISHED);
-            for (int at = 0; at < choices.length; at++) {
-                natures[at] = choices[at][n % choices[at].length];
-                n /= choices[at].length;
+        Behaviour[][] choices = {READERS, OTHER_READERS, WRITERS, WRITERS, WRITERS};
+        int combinations = Stream.of(choices).mapToInt(c -> c.length).reduce(1, (a, b) -> a * b);
+        for (int combination = 0; combination < combinations; combination++) {
+            int remainder = combination;
+            Behaviour[] behaviours = new Behaviour[choices.length + unreachableServers];
+            Arrays.fill(behaviours, Behaviour.UNREACHABLE);
+            for (int index = 0; index < choices.length; index++) {
+                behaviours[index] = choices[index][remainder % choices[index].length];
+                remainder /= choices[index].length;
             }
-            boolean ordered = natures[2].compareTo(natures[3]) <= 0 && natures[3].compareTo(natures[4]) <= 0;
-            if (!ordered || Stream.of(natures).noneMatch(x -> x.hears)) {
+            boolean ordered =
+                    behaviours[2].compareTo(behaviours[3]) <= 0 && behaviours[3].compareTo(behaviours[4]) <= 0;
+            if (!ordered || Stream.of(behaviours).noneMatch(x -> x.answersReleases)) {
                 continue;
             }
-            for (int e = 0; e <= (slow == Slow.NOT ? 2 * ENDS_MS.length : 0); e++) {
-                End end = e == 0 ? End.NONE : e % 2 == 0 ? End.LEFT : End.STOP;
-                Duration endAt = Duration.ofMillis(e == 0 ? 0 : ENDS_MS[(e - 1) / 2]);
-                String fault = play(releaseS, effect, slow, end, endAt, 2, natures);
+            for (int endCase = 0; endCase <= (slowness == Slowness.NONE ? 2 * ENDS_MS.length : 0); endCase++) {
+                End end = endCase == 0 ? End.NONE : endCase % 2 == 0 ? End.LEFT : End.STOP;
+                Duration endAt = Duration.ofMillis(endCase == 0 ? 0 : ENDS_MS[(endCase - 1) / 2]);
+                String fault = runCase(releaseS, effect, slowness, end, endAt, 2, behaviours);
                 cases++;
                 if (fault != null) {
-                    faults.add(List.of(natures) + " " + end + " " + endAt + ": " + fault);
-                    Stream.of(natures).distinct().forEach(x -> with.merge(x, 1, Integer::sum));
+                    faults.add(List.of(behaviours) + " " + end + " " + endAt + ": " + fault);
+                    Stream.of(behaviours).distinct().forEach(x -> faultsByBehaviour.merge(x, 1, Integer::sum));
                 }
             }
         }
         assertEquals(
                 faults.size(),
                 0,
-                "of " + cases + " cases; failed cases by behaviour: " + with + "; the first: "
+                "of " + cases + " cases; failed cases by behaviour: " + faultsByBehaviour + "; the first: "
                         + String.join("\n", faults.subList(0, Math.min(30, faults.size()))) + "\n");
     }
 
@@ -588,16 +601,19 @@
      * The write is sent on a kept-alive connection that has gone silent. An answered probe on a new connection shows that the
      * server, whose answers usually take long, is running; it doesn't show that the write has arrived.
      */
-    @Test(timeOut = TEST_MS)
+    @Test(timeOut = TEST_TIMEOUT_MS)
     public void anAnswerOnANewConnectionShowsNoArrivalOnAKeptOne() throws Exception {
-        World world = new World(new Nature[] {Nature.WELL, Nature.FORGETS_CONNECTIONS}, 1, 1, Slow.NOT);
-        Conductor conductor = Conductor.start(world, 1, Api.Effect.SAFE, false);
-        conductor.module.arrive(ask("before", Duration.ZERO), answer(new boolean[1]));
-        world.later(FORGETS_AT, () -> conductor.module.arrive(ask(ID, FORGETS_AT), answer(new boolean[1])));
-        Duration writeIsOut = FORGETS_AT.plus(READ.multipliedBy(2));
-        world.later(writeIsOut, () -> conductor.peers.get("s1").tell(new PeerActor.Probe()));
-        world.play();
-        assertEquals(world.broken, null);
+        World world =
+                new World(new Behaviour[] {Behaviour.HEALTHY, Behaviour.SILENCES_OLD_CONNECTIONS}, 1, 1, Slowness.NONE);
+        Conductor conductor = Conductor.start(world, 1, Api.Repeats.SAFE, false);
+        conductor.module.submit(newRequest("before", Duration.ZERO), newResponse(new boolean[1]));
+        world.schedule(
+                SILENT_FROM,
+                () -> conductor.module.submit(newRequest(REQUEST_ID, SILENT_FROM), newResponse(new boolean[1])));
+        Duration writeIsOut = SILENT_FROM.plus(READ_TIME.multipliedBy(2));
+        world.schedule(writeIsOut, () -> conductor.peers.get("s1").tell(new PeerActor.Probe()));
+        world.runToHorizon();
+        assertEquals(world.fault, null);
     }
 
     @DataProvider
@@ -612,27 +628,34 @@
     @Test(dataProvider = "times")
     public void someServerHearsAReleaseInTimeThoughFourInFiveDoNot(double releaseS) throws Exception {
         Random random = new Random(5);
-        Nature[] deaf = {Nature.VANISHED, Nature.VANISHED, Nature.HANGS, Nature.DIES, Nature.REFUSES, Nature.BREAKS};
+        Behaviour[] unreachable = {
+            Behaviour.UNREACHABLE,
+            Behaviour.UNREACHABLE,
+            Behaviour.NEVER_ANSWERS,
+            Behaviour.CUT_OFF_AFTER_CONNECT,
+            Behaviour.REFUSES_CONNECTIONS,
+            Behaviour.BREAKS_BEFORE_LAST_BYTE
+        };
         Duration worst = Duration.ZERO;
         for (int i = 0; i < 3000; i++) {
-            Nature[] natures = new Nature[2 + i % 49];
-            Arrays.setAll(natures, n -> deaf[random.nextInt(deaf.length)]);
-            for (int n = 0; n < Math.max(1, natures.length / 5); n++) {
-                natures[random.nextInt(natures.length)] = Nature.WELL;
+            Behaviour[] behaviours = new Behaviour[2 + i % 49];
+            Arrays.setAll(behaviours, n -> unreachable[random.nextInt(unreachable.length)]);
+            for (int n = 0; n < Math.max(1, behaviours.length / 5); n++) {
+                behaviours[random.nextInt(behaviours.length)] = Behaviour.HEALTHY;
             }
-            World world = new World(natures, 0, releaseS, Slow.NOT);
+            World world = new World(behaviours, 0, releaseS, Slowness.NONE);
             world.heldSince = Duration.ZERO;
-            ReleaseActor releases = new ReleaseActor(world.turns, world, ModuleTime.span(2 * releaseS));
+            ReleaseActor releases = new ReleaseActor(world.scheduler, world, ModuleTime.duration(2 * releaseS));
             Map<String, PeerActor> peers = peersOf(world, setup(world, null, releases, null));
-            releases.tell(new ReleaseActor.Listed(peers));
-            releases.tell(new ReleaseActor.Release(ID, "s0", null));
-            while (world.heldSince != null && !world.dues.isEmpty()) {
-                world.step();
+            releases.tell(new ReleaseActor.ServersListed(peers));
+            releases.tell(new ReleaseActor.Release(REQUEST_ID, "s0", null));
+            while (world.heldSince != null && !world.tasks.isEmpty()) {
+                world.runNextTask();
             }
             assertNull(world.heldSince);
             worst = world.now.compareTo(worst) > 0 ? world.now : worst;
         }
-        assertTrue(worst.compareTo(ModuleTime.span(releaseS / 2)) < 0, "heard after " + worst);
+        assertTrue(worst.compareTo(ModuleTime.duration(releaseS / 2)) < 0, "heard after " + worst);
     }
 
     /** {@code readMayEndUntil}: null, or the time until which an interrupted read may still succeed. */
@@ -647,43 +670,51 @@
      * again, and a shutdown doesn't wait for it.
      */
     @Test(dataProvider = "cuts")
-    public void aReleaseOutlastsACutFromAll(boolean stop, Instant until) throws Exception {
-        World world = new World(new Nature[] {Nature.WELL, Nature.WELL}, 0, 1, Slow.NOT);
-        ReleaseActor releases = new ReleaseActor(world.turns, world, Duration.ofSeconds(2));
+    public void aReleaseOutlastsACutFromAll(boolean shutdown, Instant readMayEndUntil) throws Exception {
+        World world = new World(new Behaviour[] {Behaviour.HEALTHY, Behaviour.HEALTHY}, 0, 1, Slowness.NONE);
+        ReleaseActor releases = new ReleaseActor(world.scheduler, world, Duration.ofSeconds(2));
         Map<String, PeerActor> peers = peersOf(world, setup(world, null, releases, null));
-        world.cutOff.addAll(List.of(0, 1));
-        releases.tell(new ReleaseActor.Listed(peers));
-        releases.tell(new ReleaseActor.Release(ID, "s0", until));
-        releases.tell(new ReleaseActor.Release("other", "s0", until));
-        world.later(Duration.ofSeconds(4), () -> {
-            if (stop) {
-                releases.tell(new ReleaseActor.Drain(() -> world.endedAt = world.now));
+        world.cutOffServers.addAll(List.of(0, 1));
+        releases.tell(new ReleaseActor.ServersListed(peers));
+        releases.tell(new ReleaseActor.Release(REQUEST_ID, "s0", readMayEndUntil));
+        releases.tell(new ReleaseActor.Release("other", "s0", readMayEndUntil));
+        world.schedule(Duration.ofSeconds(4), () -> {
+            if (shutdown) {
+                releases.tell(new ReleaseActor.Drain(() -> world.processEndedAt = world.now));
             }
-            world.cutOff.clear();
+            world.cutOffServers.clear();
             world.heldSince = world.now;
         });
-        world.play();
-        assertNull(stop ? null : world.broken);
-        assertEquals(world.endedAt, stop ? Duration.ofSeconds(4) : HORIZON);
+        world.runToHorizon();
+        assertNull(shutdown ? null : world.fault);
+        assertEquals(world.processEndedAt, shutdown ? Duration.ofSeconds(4) : HORIZON);
     }
 
     /** The server list is empty, as after a faulty update: a server is asked for the release once it is listed. */
     @Test
     public void aReleaseOutlastsAnEmptyList() throws Exception {
-        World world = new World(new Nature[] {Nature.WELL}, 0, 1, Slow.NOT);
+        World world = new World(new Behaviour[] {Behaviour.HEALTHY}, 0, 1, Slowness.NONE);
         world.heldSince = Duration.ZERO;
-        ReleaseActor releases = new ReleaseActor(world.turns, world, Duration.ofSeconds(2));
+        ReleaseActor releases = new ReleaseActor(world.scheduler, world, Duration.ofSeconds(2));
         PeerActor peer = new PeerActor(
-                world.turns, "s", new InetSocketAddress("127.0.0.1", 0), setup(world, null, releases, null));
-        releases.tell(new ReleaseActor.Release(ID, "s", null));
-        world.later(Duration.ofSeconds(1), () -> releases.tell(new ReleaseActor.Listed(Map.of("s", peer))));
-        world.play();
-        assertNull(world.broken);
+                world.scheduler, "s", new InetSocketAddress("127.0.0.1", 0), setup(world, null, releases, null));
+        releases.tell(new ReleaseActor.Release(REQUEST_ID, "s", null));
+        world.schedule(Duration.ofSeconds(1), () -> releases.tell(new ReleaseActor.ServersListed(Map.of("s", peer))));
+        world.runToHorizon();
+        assertNull(world.fault);
     }
 
     private static PeerActor.Setup setup(World world, ModuleActor module, ReleaseActor releases, Metrics metrics) {
-        Duration connect = Duration.ofMillis(250);
+        Duration connectTimeout = Duration.ofMillis(250);
         return new PeerActor.Setup(
-                world, world, connect, Duration.ofSeconds(15), connect, module, releases, Recorder.NONE, metrics);
+                world,
+                world,
+                connectTimeout,
+                Duration.ofSeconds(15),
+                connectTimeout,
+                module,
+                releases,
+                Recorder.NONE,
+                metrics);
     }
 }
--- a/src/test/java/copperbeam/routing/IdleShareTest.java
+++ b/src/test/java/copperbeam/routing/IdleShareTest.java
@@ -35,14 +35,14 @@
     }
 
     @Test(dataProvider = "fleets")
-    public void noMoreStandIdleThanMay(int servers, int idle, int kept) throws Exception {
-        ScheduledThreadPoolExecutor turns = new ScheduledThreadPoolExecutor(1);
+    public void idleConnectionsStayWithinLimit(int servers, int idleLimit, int expectedIdle) throws Exception {
+        ScheduledThreadPoolExecutor scheduler = new ScheduledThreadPoolExecutor(1);
         try {
-            int[] open = {0};
+            int[] openCount = {0};
             Clock clock = Clock.systemUTC();
             Duration minute = Duration.ofMinutes(1);
             Metrics metrics = new Metrics(List.of());
-            ReleaseActor releases = new ReleaseActor(turns, clock, minute);
+            ReleaseActor releases = new ReleaseActor(scheduler, clock, minute);
             Api.Settings settings = new Api.Settings(
                     1,
                     0,
@@ -51,17 +51,17 @@
                     List.of(),
                     new Api.Limits(4, true, false, 1),
                     new Api.Rules(1, 0, 1, 1, 1, 1),
-                    Api.Reports.NEVER,
+                    Api.ReportTiming.NEVER,
                     false,
                     0,
                     true,
                     true);
-            ModuleActor module = new ModuleActor(turns, clock, settings, 7, releases, Recorder.NONE, metrics);
+            ModuleActor module = new ModuleActor(scheduler, clock, settings, 7, releases, Recorder.NONE, metrics);
             PeerActor.Setup setup = new PeerActor.Setup(
                     clock,
-                    (to, timeout, watcher) -> {
-                        open[0]++;
-                        watcher.up(connection(open));
+                    (address, timeout, connectionListener) -> {
+                        openCount[0]++;
+                        connectionListener.connected(connection(openCount));
                     },
                     minute,
                     minute,
@@ -72,50 +72,50 @@
                     metrics);
             List<PeerActor> peers = new ArrayList<>();
             ListActor list = new ListActor(
-                    turns,
-                    (id, at) -> {
-                        peers.add(new PeerActor(turns, id, at, setup));
+                    scheduler,
+                    (id, address) -> {
+                        peers.add(new PeerActor(scheduler, id, address, setup));
                         return peers.get(peers.size() - 1);
                     },
                     module,
                     releases,
-                    idle);
+                    idleLimit);
             List<Entry> entries = IntStream.range(0, servers)
                     .mapToObj(i -> new Entry(
                             new Member("s" + i, "z", "r", 0, ServerState.READY, 1, 0),
                             new InetSocketAddress("127.0.0.1", i + 1)))
                     .toList();
-            list.tell(new ListActor.Told(new Change(ListKind.FULL, entries), null));
-            settle(turns);
+            list.tell(new ListActor.ListChanged(new Change(ListKind.FULL, entries), null));
+            runPendingTurns(scheduler);
             peers.forEach(p -> p.tell(new PeerActor.Probe()));
-            settle(turns);
-            assertEquals(turns.submit(() -> open[0]).get().intValue(), kept);
+            runPendingTurns(scheduler);
+            assertEquals(scheduler.submit(() -> openCount[0]).get().intValue(), expectedIdle);
         } finally {
-            turns.shutdownNow();
+            scheduler.shutdownNow();
         }
     }
 
     /** A connection on which each call is answered immediately. */
-    private static Connector.Connection connection(int[] open) {
+    private static Connector.Connection connection(int[] openCount) {
         return (Connector.Connection) Proxy.newProxyInstance(
                 IdleShareTest.class.getClassLoader(),
                 new Class<?>[] {Connector.Connection.class},
                 (proxy, method, args) -> {
                     if (method.getName().equals("call")) {
-                        Connector.Listener listener = (Connector.Listener) args[1];
-                        listener.word(Connector.Word.HEARD, null);
+                        Connector.CallListener listener = (Connector.CallListener) args[1];
+                        listener.answerClassified(Connector.AnswerKind.HEARD, null);
                         listener.end(true, Double.NaN);
                     } else if (method.getName().equals("close")) {
-                        open[0]--;
+                        openCount[0]--;
                     }
                     return method.getReturnType() == boolean.class ? true : null;
                 });
     }
 
     /** Runs enough turns for all actors, since each turn of one may schedule a turn of another. */
-    private static void settle(ScheduledThreadPoolExecutor turns) throws Exception {
+    private static void runPendingTurns(ScheduledThreadPoolExecutor scheduler) throws Exception {
         for (int i = 0; i < 20; i++) {
-            turns.submit(() -> {}).get();
+            scheduler.submit(() -> {}).get();
         }
     }
 }
--- a/src/test/java/copperbeam/routing/KeptConnectionTest.java
+++ b/src/test/java/copperbeam/routing/KeptConnectionTest.java
@@ -2,8 +2,8 @@
 
 import static org.testng.Assert.assertEquals;
 
-import copperbeam.routing.UnwantedTest.Ahead;
-import copperbeam.routing.UnwantedTest.Server;
+import copperbeam.routing.UnwantedTest.ManualClock;
+import copperbeam.routing.UnwantedTest.ScriptedServer;
 import java.time.Duration;
 import java.util.concurrent.ScheduledThreadPoolExecutor;
 import org.testng.annotations.DataProvider;
@@ -28,28 +28,28 @@
      * would be taken for the answer to the next call.
      */
     @Test(dataProvider = "rests")
-    public void aKeptConnectionSettlesBeforeItsNextCall(int restMs, String done) throws Exception {
-        ScheduledThreadPoolExecutor turns = new ScheduledThreadPoolExecutor(1);
+    public void aKeptConnectionSettlesBeforeItsNextCall(int idleMs, String expectedActions) throws Exception {
+        ScheduledThreadPoolExecutor scheduler = new ScheduledThreadPoolExecutor(1);
         try {
-            Ahead clock = new Ahead();
-            Server server = new Server();
-            PeerActor peer = UnwantedTest.peer(turns, clock, server);
-            turn(turns, () -> peer.tell(new PeerActor.Probe()));
-            turn(turns, () -> server.watcher.up(server));
-            turn(turns, () -> {
-                server.listener.word(Connector.Word.HEARD, null);
-                server.listener.end(true, Double.NaN);
+            ManualClock clock = new ManualClock();
+            ScriptedServer server = new ScriptedServer();
+            PeerActor peer = UnwantedTest.newPeer(scheduler, clock, server);
+            runTurn(scheduler, () -> peer.tell(new PeerActor.Probe()));
+            runTurn(scheduler, () -> server.connectionListener.connected(server));
+            runTurn(scheduler, () -> {
+                server.callListener.answerClassified(Connector.AnswerKind.HEARD, null);
+                server.callListener.end(true, Double.NaN);
             });
-            clock.by = Duration.ofMillis(restMs);
-            turn(turns, () -> peer.tell(new PeerActor.Probe()));
-            assertEquals(turns.submit(() -> server.done).get(), done);
+            clock.offset = Duration.ofMillis(idleMs);
+            runTurn(scheduler, () -> peer.tell(new PeerActor.Probe()));
+            assertEquals(scheduler.submit(() -> server.actions).get(), expectedActions);
         } finally {
-            turns.shutdownNow();
+            scheduler.shutdownNow();
         }
     }
 
-    private static void turn(ScheduledThreadPoolExecutor turns, Runnable step) throws Exception {
-        turns.submit(step).get();
-        turns.submit(() -> {}).get(); // returns after the actor's turn
+    private static void runTurn(ScheduledThreadPoolExecutor scheduler, Runnable step) throws Exception {
+        scheduler.submit(step).get();
+        scheduler.submit(() -> {}).get(); // returns after the actor's turn
     }
 }
--- a/src/test/java/copperbeam/routing/LongDayTest.java
+++ b/src/test/java/copperbeam/routing/LongDayTest.java
@@ -3,12 +3,12 @@
 import static org.testng.Assert.assertEquals;
 
 import copperbeam.Api;
-import copperbeam.Api.Kind;
 import copperbeam.Api.Limits;
 import copperbeam.Api.ListKind;
 import copperbeam.Api.Member;
 import copperbeam.Api.Role;
 import copperbeam.Api.Rules;
+import copperbeam.Api.ServerKind;
 import copperbeam.Api.ServerState;
 import copperbeam.Api.Settings;
 import copperbeam.routing.MembershipSource.Change;
@@ -33,24 +33,24 @@
 
     @Test
     public void peersOfServersThatLeftAreForgotten() throws Exception {
-        ScheduledThreadPoolExecutor turns = new ScheduledThreadPoolExecutor(1);
+        ScheduledThreadPoolExecutor scheduler = new ScheduledThreadPoolExecutor(1);
         try {
             Settings settings = new Settings(
                     1,
                     0,
-                    List.of(new Api.RequestClass("c", 1, 0, 1, Api.Effect.SAFE, Api.Group.ALL, 0)),
+                    List.of(new Api.RequestClass("c", 1, 0, 1, Api.Repeats.SAFE, Api.DedupScope.ALL, 0)),
                     List.of(),
-                    List.of(new Kind("r", Role.READER, 1)),
+                    List.of(new ServerKind("r", Role.READER, 1)),
                     new Limits(4, true, false, 1),
                     new Rules(1, 1, 3, 2, 1, 0),
-                    Api.Reports.NEVER,
+                    Api.ReportTiming.NEVER,
                     false,
                     0,
                     false,
                     true);
-            ReleaseActor releases = new ReleaseActor(turns, Clock.systemUTC(), Duration.ofSeconds(1));
+            ReleaseActor releases = new ReleaseActor(scheduler, Clock.systemUTC(), Duration.ofSeconds(1));
             ModuleActor module = new ModuleActor(
-                    turns, Clock.systemUTC(), settings, 1, releases, Recorder.NONE, new Metrics(List.of()));
+                    scheduler, Clock.systemUTC(), settings, 1, releases, Recorder.NONE, new Metrics(List.of()));
             PeerActor.Setup setup = new PeerActor.Setup(
                     Clock.systemUTC(),
                     null,
@@ -61,43 +61,46 @@
                     releases,
                     Recorder.NONE,
                     null);
-            List<WeakReference<PeerActor>> made = new ArrayList<>();
+            List<WeakReference<PeerActor>> createdPeers = new ArrayList<>();
             ListActor list = new ListActor(
-                    turns,
-                    (id, at) -> {
-                        PeerActor peer = new PeerActor(turns, id, at, setup);
-                        made.add(new WeakReference<>(peer));
+                    scheduler,
+                    (id, address) -> {
+                        PeerActor peer = new PeerActor(scheduler, id, address, setup);
+                        createdPeers.add(new WeakReference<>(peer));
                         return peer;
                     },
                     module,
                     releases,
                     10);
-            int all = 3000;
-            for (int i = 0; i < all; i++) {
-                list.tell(new ListActor.Told(
+            int total = 3000;
+            for (int i = 0; i < total; i++) {
+                list.tell(new ListActor.ListChanged(
                         change(i % 100 == 0 ? ListKind.FULL : ListKind.DELTA, i, ServerState.READY), null));
                 if (i % 100 >= 50) {
-                    list.tell(new ListActor.Told(change(ListKind.DELTA, i, ServerState.GONE), null));
+                    list.tell(new ListActor.ListChanged(change(ListKind.DELTA, i, ServerState.GONE), null));
                 }
             }
-            // collect only after all changes are processed: repeated collections would starve the actors waited for here
-            long until = System.nanoTime() + Duration.ofSeconds(30).toNanos();
-            while (turns.submit(made::size).get() < all && System.nanoTime() < until) {
+            // collect only after all changes are processed: repeated collections would starve the actors waited for
+            // here
+            long deadlineNanos = System.nanoTime() + Duration.ofSeconds(30).toNanos();
+            while (scheduler.submit(createdPeers::size).get() < total && System.nanoTime() < deadlineNanos) {
                 Thread.sleep(5);
             }
-            assertEquals(made.size(), all);
-            until = System.nanoTime() + Duration.ofSeconds(10).toNanos();
-            long left = all;
-            while (left > 51 && System.nanoTime() < until) {
+            assertEquals(createdPeers.size(), total);
+            deadlineNanos = System.nanoTime() + Duration.ofSeconds(10).toNanos();
+            long remaining = total;
+            while (remaining > 51 && System.nanoTime() < deadlineNanos) {
                 System.gc();
-                left = turns.submit(
-                                () -> made.stream().filter(p -> p.get() != null).count())
+                remaining = scheduler
+                        .submit(() -> createdPeers.stream()
+                                .filter(p -> p.get() != null)
+                                .count())
                         .get();
             }
             // the servers of the last full list and of later changes that have not left
-            assertEquals(left, 50);
+            assertEquals(remaining, 50);
         } finally {
-            turns.shutdownNow();
+            scheduler.shutdownNow();
         }
     }
 }
--- a/src/test/java/copperbeam/routing/RequestRulesTest.java
+++ b/src/test/java/copperbeam/routing/RequestRulesTest.java
@@ -3,8 +3,8 @@
 import static org.testng.Assert.assertEquals;
 
 import copperbeam.Api;
-import copperbeam.Api.Effect;
 import copperbeam.Api.Outcome;
+import copperbeam.Api.Repeats;
 import copperbeam.routing.RequestRules.Rule;
 import java.time.Instant;
 import org.testng.annotations.DataProvider;
@@ -15,8 +15,9 @@
     private static final Instant START = Instant.EPOCH;
     private static final Instant DEADLINE = START.plusSeconds(5);
 
-    private static RequestRules rules(Effect effect, boolean resumed) {
-        return new RequestRules(new Api.RequestClass("c", 1, 0, 1, effect, Api.Group.ZONE, 2), 4, DEADLINE, resumed);
+    private static RequestRules rules(Repeats effect, boolean resumed) {
+        return new RequestRules(
+                new Api.RequestClass("c", 1, 0, 1, effect, Api.DedupScope.ZONE, 2), 4, DEADLINE, resumed);
     }
 
     /**
@@ -25,63 +26,68 @@
      */
     @DataProvider
     public Object[][] ends() {
-        Rule no = null;
+        Rule none = null;
         return new Object[][] {
-            {Effect.SAFE, Outcome.RESET, true, no, no, no},
-            {Effect.UNSAFE, Outcome.RESET, true, Rule.REPEATED_RUN, Rule.REPEATED_RUN, Rule.REFUSED_AFTER_RUN},
-            {Effect.UNSAFE, Outcome.STALE, true, Rule.REPEATED_RUN, Rule.REPEATED_RUN, Rule.REFUSED_AFTER_RUN},
-            {Effect.UNSAFE, Outcome.TIMED_OUT, true, Rule.REPEATED_RUN, Rule.REPEATED_RUN, Rule.REFUSED_AFTER_RUN},
-            {Effect.UNSAFE, Outcome.ERROR, true, Rule.REPEATED_RUN, Rule.REPEATED_RUN, Rule.REFUSED_AFTER_RUN},
-            {Effect.UNSAFE, Outcome.CANCELLED, true, Rule.REPEATED_RUN, Rule.REPEATED_RUN, Rule.REFUSED_AFTER_RUN},
-            {Effect.UNSAFE, Outcome.CANCELLED, false, no, no, no},
-            {Effect.UNSAFE, Outcome.FULL, true, no, no, no},
-            {Effect.UNSAFE, Outcome.CONNECT_FAILED, false, no, no, no},
-            {Effect.UNSAFE, Outcome.NOT_SENT, true, no, no, no},
-            {Effect.KEYED, Outcome.RESET, true, no, Rule.REPEATED_RUN, Rule.REFUSED_AFTER_RUN},
+            {Repeats.SAFE, Outcome.RESET, true, none, none, none},
+            {Repeats.UNSAFE, Outcome.RESET, true, Rule.REPEATED_RUN, Rule.REPEATED_RUN, Rule.REFUSED_AFTER_RUN},
+            {Repeats.UNSAFE, Outcome.STALE, true, Rule.REPEATED_RUN, Rule.REPEATED_RUN, Rule.REFUSED_AFTER_RUN},
+            {Repeats.UNSAFE, Outcome.TIMED_OUT, true, Rule.REPEATED_RUN, Rule.REPEATED_RUN, Rule.REFUSED_AFTER_RUN},
+            {Repeats.UNSAFE, Outcome.ERROR, true, Rule.REPEATED_RUN, Rule.REPEATED_RUN, Rule.REFUSED_AFTER_RUN},
+            {Repeats.UNSAFE, Outcome.CANCELLED, true, Rule.REPEATED_RUN, Rule.REPEATED_RUN, Rule.REFUSED_AFTER_RUN},
+            {Repeats.UNSAFE, Outcome.CANCELLED, false, none, none, none},
+            {Repeats.UNSAFE, Outcome.FULL, true, none, none, none},
+            {Repeats.UNSAFE, Outcome.CONNECT_FAILED, false, none, none, none},
+            {Repeats.UNSAFE, Outcome.NOT_SENT, true, none, none, none},
+            {Repeats.KEYED, Outcome.RESET, true, none, Rule.REPEATED_RUN, Rule.REFUSED_AFTER_RUN},
         };
     }
 
     @Test(dataProvider = "ends")
     public void whatMayHaveRunIsNotRepeated(
-            Effect effect, Outcome outcome, boolean reached, Rule soon, Rule late, Rule refusal) {
+            Repeats effect,
+            Outcome outcome,
+            boolean connected,
+            Rule writeRuleAfterOneSecond,
+            Rule writeRuleAfterThreeSeconds,
+            Rule refusalRule) {
         RequestRules rules = rules(effect, false);
-        rules.begun(false, START);
-        rules.outcome(Outcome.READ, true);
-        rules.begun(true, START);
-        rules.outcome(outcome, reached);
-        assertEquals(rules.againstAttempt(true, START.plusSeconds(1)).orElse(null), soon);
-        assertEquals(rules.againstAttempt(true, START.plusSeconds(3)).orElse(null), late);
-        assertEquals(rules.againstRefusal().orElse(null), refusal);
+        rules.attemptBegan(false, START);
+        rules.attemptEnded(Outcome.READ, true);
+        rules.attemptBegan(true, START);
+        rules.attemptEnded(outcome, connected);
+        assertEquals(rules.checkAttempt(true, START.plusSeconds(1)).orElse(null), writeRuleAfterOneSecond);
+        assertEquals(rules.checkAttempt(true, START.plusSeconds(3)).orElse(null), writeRuleAfterThreeSeconds);
+        assertEquals(rules.checkRefusal().orElse(null), refusalRule);
     }
 
     @Test
     public void oneAttemptAtATimeFourInAllAndNoneAfterTheEnd() {
-        RequestRules rules = rules(Effect.SAFE, false);
+        RequestRules rules = rules(Repeats.SAFE, false);
         for (int i = 0; i < 4; i++) {
-            assertEquals(rules.againstAttempt(true, START).orElse(null), null);
-            rules.begun(true, START);
-            assertEquals(rules.againstAttempt(true, START).orElse(null), Rule.ATTEMPT_BESIDE_ANOTHER);
-            rules.outcome(Outcome.FULL, true);
+            assertEquals(rules.checkAttempt(true, START).orElse(null), null);
+            rules.attemptBegan(true, START);
+            assertEquals(rules.checkAttempt(true, START).orElse(null), Rule.ATTEMPT_BESIDE_ANOTHER);
+            rules.attemptEnded(Outcome.FULL, true);
         }
-        assertEquals(rules.againstAttempt(true, START).orElse(null), Rule.TOO_MANY_ATTEMPTS);
-        rules.ended();
-        assertEquals(rules.againstAttempt(true, START).orElse(null), Rule.ATTEMPT_AFTER_END);
+        assertEquals(rules.checkAttempt(true, START).orElse(null), Rule.TOO_MANY_ATTEMPTS);
+        rules.requestEnded();
+        assertEquals(rules.checkAttempt(true, START).orElse(null), Rule.ATTEMPT_AFTER_END);
     }
 
     @Test
     public void whatRunsOrRanElsewhereIsNotRefused() {
-        RequestRules running = rules(Effect.UNSAFE, false);
-        running.begun(true, START);
-        assertEquals(running.againstRefusal().orElse(null), Rule.REFUSED_AFTER_RUN);
-        RequestRules resumed = rules(Effect.UNSAFE, true);
-        assertEquals(resumed.againstRefusal().orElse(null), Rule.REFUSED_AFTER_RUN);
-        assertEquals(resumed.againstAttempt(true, START).orElse(null), null);
+        RequestRules running = rules(Repeats.UNSAFE, false);
+        running.attemptBegan(true, START);
+        assertEquals(running.checkRefusal().orElse(null), Rule.REFUSED_AFTER_RUN);
+        RequestRules resumed = rules(Repeats.UNSAFE, true);
+        assertEquals(resumed.checkRefusal().orElse(null), Rule.REFUSED_AFTER_RUN);
+        assertEquals(resumed.checkAttempt(true, START).orElse(null), null);
     }
 
     @Test
     public void anAnswerHasItsGrace() {
-        RequestRules rules = rules(Effect.SAFE, false);
-        assertEquals(rules.againstAnswer(DEADLINE.plusMillis(100)).orElse(null), null);
-        assertEquals(rules.againstAnswer(DEADLINE.plusMillis(101)).orElse(null), Rule.LATE_ANSWER);
+        RequestRules rules = rules(Repeats.SAFE, false);
+        assertEquals(rules.checkFinalAnswer(DEADLINE.plusMillis(100)).orElse(null), null);
+        assertEquals(rules.checkFinalAnswer(DEADLINE.plusMillis(101)).orElse(null), Rule.LATE_ANSWER);
     }
 }
--- a/src/test/java/copperbeam/routing/UnwantedTest.java
+++ b/src/test/java/copperbeam/routing/UnwantedTest.java
@@ -21,7 +21,7 @@
  */
 public class UnwantedTest {
     /** When the attempt stops being wanted. */
-    private enum When {
+    private enum Point {
         BEFORE_IT_BEGINS,
         BEFORE_IT_HAS_A_CONNECTION,
         BEFORE_ITS_LAST_BYTE_GOES,
@@ -29,25 +29,25 @@
     }
 
     /** Why the attempt stops being wanted. */
-    private enum Why {
-        GONE,
-        LATE,
-        OVER,
-        DRAINS,
-        LEFT,
-        WANTED
+    private enum Reason {
+        CLIENT_GONE,
+        PAST_SEND_BY,
+        EXPIRED,
+        SERVER_DRAINING,
+        SERVER_REMOVED,
+        STILL_WANTED
     }
 
     /** A server driven by the test, which records the calls to its connector and connection; used on the actors' thread alone. */
-    static final class Server implements Connector, Connector.Connection {
-        String done = "";
-        Watcher watcher;
-        Listener listener;
+    static final class ScriptedServer implements Connector, Connector.Connection {
+        String actions = "";
+        ConnectionListener connectionListener;
+        CallListener callListener;
 
         @Override
-        public void connect(InetSocketAddress to, Duration timeout, Watcher next) {
-            done += "connect ";
-            watcher = next;
+        public void connect(InetSocketAddress address, Duration timeout, ConnectionListener newListener) {
+            actions += "connect ";
+            connectionListener = newListener;
         }
 
         @Override
@@ -56,47 +56,47 @@
         }
 
         @Override
-        public void call(Connector.Call call, Listener next) {
-            done += "call ";
-            listener = next;
+        public void call(Connector.Call call, CallListener newListener) {
+            actions += "call ";
+            callListener = newListener;
         }
 
         @Override
-        public void let() {
-            done += "let ";
+        public void sendLastByte() {
+            actions += "let ";
         }
 
         @Override
         public void grant(int bytes) {}
 
         @Override
-        public boolean heldBack() {
+        public boolean isReceiveWindowFull() {
             return false;
         }
 
         @Override
-        public void readOut(Runnable read) {
-            read.run();
+        public void readOut(Runnable then) {
+            then.run();
         }
 
         @Override
         public void close() {
-            done += "close ";
+            actions += "close ";
         }
 
         @Override
         public void abort() {
-            done += "abort ";
+            actions += "abort ";
         }
     }
 
     /** A clock that stands still until the test changes its offset from the epoch. */
-    static final class Ahead extends Clock {
-        volatile Duration by = Duration.ZERO;
+    static final class ManualClock extends Clock {
+        volatile Duration offset = Duration.ZERO;
 
         @Override
         public Instant instant() {
-            return Instant.EPOCH.plus(by);
+            return Instant.EPOCH.plus(offset);
         }
 
         @Override
@@ -112,9 +112,9 @@
 
     static final Duration MINUTE = Duration.ofMinutes(1);
 
-    static PeerActor peer(ScheduledThreadPoolExecutor turns, Clock clock, Connector connector) {
+    static PeerActor newPeer(ScheduledThreadPoolExecutor scheduler, Clock clock, Connector connector) {
         Metrics metrics = new Metrics(List.of("c"));
-        ReleaseActor releases = new ReleaseActor(turns, clock, MINUTE);
+        ReleaseActor releases = new ReleaseActor(scheduler, clock, MINUTE);
         Api.Settings settings = new Api.Settings(
                 1,
                 0,
@@ -123,14 +123,14 @@
                 List.of(),
                 new Api.Limits(4, false, false, 1),
                 new Api.Rules(1, 0, 1, 1, 1, 1),
-                Api.Reports.NEVER,
+                Api.ReportTiming.NEVER,
                 false,
                 0,
                 false,
                 false);
-        ModuleActor module = new ModuleActor(turns, clock, settings, 7, releases, Recorder.NONE, metrics);
+        ModuleActor module = new ModuleActor(scheduler, clock, settings, 7, releases, Recorder.NONE, metrics);
         return new PeerActor(
-                turns,
+                scheduler,
                 "s",
                 new InetSocketAddress("127.0.0.1", 1),
                 new PeerActor.Setup(
@@ -140,83 +140,86 @@
     @DataProvider
     public Object[][] points() {
         return new Object[][] {
-            {When.BEFORE_IT_BEGINS, Why.WANTED, "connect "},
-            {When.BEFORE_IT_BEGINS, Why.GONE, ""},
-            {When.BEFORE_IT_BEGINS, Why.LATE, ""},
-            {When.BEFORE_IT_HAS_A_CONNECTION, Why.WANTED, "connect call "},
-            {When.BEFORE_IT_HAS_A_CONNECTION, Why.GONE, "connect "},
-            {When.BEFORE_IT_HAS_A_CONNECTION, Why.LATE, "connect "},
-            {When.BEFORE_ITS_LAST_BYTE_GOES, Why.WANTED, "connect call let "},
-            {When.BEFORE_ITS_LAST_BYTE_GOES, Why.GONE, "connect call abort "},
-            {When.BEFORE_ITS_LAST_BYTE_GOES, Why.LATE, "connect call abort "},
-            {When.BEFORE_ITS_CONNECTION_BREAKS, Why.WANTED, "connect call connect "},
-            {When.BEFORE_ITS_CONNECTION_BREAKS, Why.GONE, "connect call abort "},
-            {When.BEFORE_ITS_CONNECTION_BREAKS, Why.LATE, "connect call abort "},
-            {When.BEFORE_IT_BEGINS, Why.OVER, ""},
-            {When.BEFORE_IT_HAS_A_CONNECTION, Why.OVER, "connect "},
-            {When.BEFORE_ITS_LAST_BYTE_GOES, Why.OVER, "connect call abort "},
-            {When.BEFORE_ITS_CONNECTION_BREAKS, Why.OVER, "connect call abort "},
-            {When.BEFORE_IT_BEGINS, Why.DRAINS, ""},
-            {When.BEFORE_IT_BEGINS, Why.LEFT, ""},
-            {When.BEFORE_IT_HAS_A_CONNECTION, Why.DRAINS, "connect close "},
-            {When.BEFORE_IT_HAS_A_CONNECTION, Why.LEFT, "connect close "},
-            {When.BEFORE_ITS_LAST_BYTE_GOES, Why.DRAINS, "connect call let "}, // its first bytes have been sent
-            {When.BEFORE_ITS_CONNECTION_BREAKS, Why.DRAINS, "connect call abort "},
-            {When.BEFORE_ITS_CONNECTION_BREAKS, Why.LEFT, "connect call abort "},
+            {Point.BEFORE_IT_BEGINS, Reason.STILL_WANTED, "connect "},
+            {Point.BEFORE_IT_BEGINS, Reason.CLIENT_GONE, ""},
+            {Point.BEFORE_IT_BEGINS, Reason.PAST_SEND_BY, ""},
+            {Point.BEFORE_IT_HAS_A_CONNECTION, Reason.STILL_WANTED, "connect call "},
+            {Point.BEFORE_IT_HAS_A_CONNECTION, Reason.CLIENT_GONE, "connect "},
+            {Point.BEFORE_IT_HAS_A_CONNECTION, Reason.PAST_SEND_BY, "connect "},
+            {Point.BEFORE_ITS_LAST_BYTE_GOES, Reason.STILL_WANTED, "connect call let "},
+            {Point.BEFORE_ITS_LAST_BYTE_GOES, Reason.CLIENT_GONE, "connect call abort "},
+            {Point.BEFORE_ITS_LAST_BYTE_GOES, Reason.PAST_SEND_BY, "connect call abort "},
+            {Point.BEFORE_ITS_CONNECTION_BREAKS, Reason.STILL_WANTED, "connect call connect "},
+            {Point.BEFORE_ITS_CONNECTION_BREAKS, Reason.CLIENT_GONE, "connect call abort "},
+            {Point.BEFORE_ITS_CONNECTION_BREAKS, Reason.PAST_SEND_BY, "connect call abort "},
+            {Point.BEFORE_IT_BEGINS, Reason.EXPIRED, ""},
+            {Point.BEFORE_IT_HAS_A_CONNECTION, Reason.EXPIRED, "connect "},
+            {Point.BEFORE_ITS_LAST_BYTE_GOES, Reason.EXPIRED, "connect call abort "},
+            {Point.BEFORE_ITS_CONNECTION_BREAKS, Reason.EXPIRED, "connect call abort "},
+            {Point.BEFORE_IT_BEGINS, Reason.SERVER_DRAINING, ""},
+            {Point.BEFORE_IT_BEGINS, Reason.SERVER_REMOVED, ""},
+            {Point.BEFORE_IT_HAS_A_CONNECTION, Reason.SERVER_DRAINING, "connect close "},
+            {Point.BEFORE_IT_HAS_A_CONNECTION, Reason.SERVER_REMOVED, "connect close "},
+            {Point.BEFORE_ITS_LAST_BYTE_GOES, Reason.SERVER_DRAINING, "connect call let "
+            }, // its first bytes have been sent
+            {Point.BEFORE_ITS_CONNECTION_BREAKS, Reason.SERVER_DRAINING, "connect call abort "},
+            {Point.BEFORE_ITS_CONNECTION_BREAKS, Reason.SERVER_REMOVED, "connect call abort "},
         };
     }
 
     @Test(dataProvider = "points")
-    public void nothingMoreIsDoneForIt(When when, Why why, String done) throws Exception {
-        ScheduledThreadPoolExecutor turns = new ScheduledThreadPoolExecutor(1);
+    public void unwantedAttemptIsNotSent(Point point, Reason reason, String expectedActions) throws Exception {
+        ScheduledThreadPoolExecutor scheduler = new ScheduledThreadPoolExecutor(1);
         try {
-            Ahead clock = new Ahead();
-            Server server = new Server();
+            ManualClock clock = new ManualClock();
+            ScriptedServer server = new ScriptedServer();
             boolean[] gone = {false};
-            Answer answer = (Answer) Proxy.newProxyInstance(
+            ResponseSink response = (ResponseSink) Proxy.newProxyInstance(
                     getClass().getClassLoader(),
-                    new Class<?>[] {Answer.class},
+                    new Class<?>[] {ResponseSink.class},
                     (proxy, method, args) -> method.getName().equals("gone") ? gone[0] : null);
-            PeerActor peer = peer(turns, clock, server);
-            Ask ask = new Ask("id", "c", "k", null, 1, 0, 1, Instant.EPOCH.plus(MINUTE), false, null);
+            PeerActor peer = newPeer(scheduler, clock, server);
+            RequestSpec spec = new RequestSpec("id", "c", "k", null, 1, 0, 1, Instant.EPOCH.plus(MINUTE), false, null);
             List<Runnable> steps = List.of(
                     () -> peer.tell(new PeerActor.Send(
                             1,
                             0,
-                            ask,
-                            answer,
+                            spec,
+                            response,
                             Instant.EPOCH.plus(MINUTE),
-                            why == Why.OVER ? Instant.MAX : Instant.EPOCH.plusSeconds(1),
+                            reason == Reason.EXPIRED ? Instant.MAX : Instant.EPOCH.plusSeconds(1),
                             Instant.MAX,
                             true,
                             false,
                             () -> false)),
-                    () -> server.watcher.up(server),
-                    () -> server.listener.held(),
-                    () -> server.listener.broken(false));
-            int last = when == When.BEFORE_ITS_CONNECTION_BREAKS ? 3 : when.ordinal();
-            for (int i = 0; i <= last; i++) {
-                if (i == last && why != Why.WANTED) {
-                    gone[0] = why == Why.GONE;
-                    clock.by = Duration.ofSeconds(why == Why.LATE ? 2 : why == Why.OVER ? 61 : 0);
-                    if (why == Why.DRAINS) {
+                    () -> server.connectionListener.connected(server),
+                    () -> server.callListener.lastByteHeld(),
+                    () -> server.callListener.broken(false));
+            int lastStep = point == Point.BEFORE_ITS_CONNECTION_BREAKS ? 3 : point.ordinal();
+            for (int i = 0; i <= lastStep; i++) {
+                if (i == lastStep && reason != Reason.STILL_WANTED) {
+                    gone[0] = reason == Reason.CLIENT_GONE;
+                    clock.offset =
+                            Duration.ofSeconds(reason == Reason.PAST_SEND_BY ? 2 : reason == Reason.EXPIRED ? 61 : 0);
+                    if (reason == Reason.SERVER_DRAINING) {
                         peer.tell(new PeerActor.Listed(true));
-                    } else if (why == Why.LEFT) {
-                        peer.tell(new PeerActor.Gone());
+                    } else if (reason == Reason.SERVER_REMOVED) {
+                        peer.tell(new PeerActor.Removed());
                     }
                 }
-                if (i != 2 || last == 2) {
-                    turns.submit(steps.get(i)).get();
-                    turns.submit(() -> {}).get(); // returns after the actor's turn
+                if (i != 2 || lastStep == 2) {
+                    scheduler.submit(steps.get(i)).get();
+                    scheduler.submit(() -> {}).get(); // returns after the actor's turn
                 }
             }
-            long until = System.nanoTime() + Duration.ofSeconds(10).toNanos();
-            while (!turns.submit(() -> server.done).get().equals(done) && System.nanoTime() < until) {
+            long giveUpAt = System.nanoTime() + Duration.ofSeconds(10).toNanos();
+            while (!scheduler.submit(() -> server.actions).get().equals(expectedActions)
+                    && System.nanoTime() < giveUpAt) {
                 Thread.sleep(1); // the last byte is held back for some milliseconds
             }
-            assertEquals(turns.submit(() -> server.done).get(), done);
+            assertEquals(scheduler.submit(() -> server.actions).get(), expectedActions);
         } finally {
-            turns.shutdownNow();
+            scheduler.shutdownNow();
         }
     }
 }
--- a/src/test/java/copperbeam/simhost/SimHostTest.java
+++ b/src/test/java/copperbeam/simhost/SimHostTest.java
@@ -51,34 +51,35 @@
     }
 
     @Test
-    void endOfInputExitsInPeace() throws Exception {
+    void endOfInputExitsNormally() throws Exception {
         assertEquals(0, run(""));
         assertEquals(0, run("{\"frame\":{\"wall_s\":1,\"frame\":1}}\n{\"over_to_you\":{}}\n"));
         assertEquals("{\"eor\":{\"frame\":1}}\n", out.toString(StandardCharsets.UTF_8));
     }
 
-    private void rejected(String line, String what) throws Exception {
+    private void assertRejected(String line, String problem) throws Exception {
         out.reset();
         err.reset();
         assertEquals(1, run(START + "{\"frame\":{\"wall_s\":6,\"frame\":2}}\n" + line + "\n"));
         assertEquals("{\"eor\":{\"frame\":1}}\n", out.toString(StandardCharsets.UTF_8));
         String message = err.toString(StandardCharsets.UTF_8);
         assertEquals(1, message.lines().count(), message);
-        assertTrue(message.contains("line 6") && message.contains(what), message);
+        assertTrue(message.contains("line 6") && message.contains(problem), message);
     }
 
     @Test
-    void whatIsWrongAndWhereIsSaid() throws Exception {
-        rejected("{\"fired\":", "bad JSON");
-        rejected("[1]", "not an object");
-        rejected("{\"fired\":{\"i\":3,\"tag\":\"t\"}} {}", "more than one value");
-        rejected("{\"a\":{},\"b\":{}}", "one name");
-        rejected("{\"surprise\":{\"i\":3}}", "unknown event 'surprise'");
-        rejected("{\"fired\":{\"i\":3}}", "field 'tag' is missing");
-        rejected("{\"fired\":{\"i\":\"3\",\"tag\":\"t\"}}", "field 'i' is not a number");
-        rejected("{\"fired\":{\"i\":8,\"tag\":\"t\"}}", "instance 8");
-        rejected("{\"ended\":{\"i\":3,\"call\":1,\"engine\":\"x:1\",\"verdict\":\"Odd\"}}", "unknown verdict 'Odd'");
-        rejected("{\"client_gone\":{\"i\":3,\"call\":1.5}}", "not a whole number");
-        rejected("{\"update\":{\"i\":3,\"mode\":7}}", "unknown list mode '7'");
+    void errorsNameTheLineAndTheProblem() throws Exception {
+        assertRejected("{\"fired\":", "bad JSON");
+        assertRejected("[1]", "not an object");
+        assertRejected("{\"fired\":{\"i\":3,\"tag\":\"t\"}} {}", "more than one value");
+        assertRejected("{\"a\":{},\"b\":{}}", "one name");
+        assertRejected("{\"surprise\":{\"i\":3}}", "unknown event 'surprise'");
+        assertRejected("{\"fired\":{\"i\":3}}", "field 'tag' is missing");
+        assertRejected("{\"fired\":{\"i\":\"3\",\"tag\":\"t\"}}", "field 'i' is not a number");
+        assertRejected("{\"fired\":{\"i\":8,\"tag\":\"t\"}}", "instance 8");
+        assertRejected(
+                "{\"ended\":{\"i\":3,\"call\":1,\"engine\":\"x:1\",\"verdict\":\"Odd\"}}", "unknown verdict 'Odd'");
+        assertRejected("{\"client_gone\":{\"i\":3,\"call\":1.5}}", "not a whole number");
+        assertRejected("{\"update\":{\"i\":3,\"mode\":7}}", "unknown list mode '7'");
     }
 }
--- a/src/test/java/copperbeam/soak/ClockStepTest.java
+++ b/src/test/java/copperbeam/soak/ClockStepTest.java
@@ -24,8 +24,9 @@
              "report":{"via":"on_probe"},"extra":{"role_by_kind":["read","write"],"release_s":1,"resume":true}}
             """;
     private static final int CLIENTS = 8;
-    private static final int PATIENCE_MS = 5000;
-    private static final int UNFINISHED_MS = 4000; // a client with an unfinished request must get its error or close within 3 s
+    private static final int ANSWER_TIMEOUT_MS = 5000;
+    private static final int UNFINISHED_TIMEOUT_MS =
+            4000; // a client with an unfinished request must get its error or close within 3 s
 
     @DataProvider
     public Object[][] steps() {
@@ -37,9 +38,9 @@
         return new Object[][] {{0}, {-3600}};
     }
 
-    private static SoakSite site(boolean operated) throws IOException, InterruptedException {
+    private static SoakSite startSite(boolean hasControl) throws IOException, InterruptedException {
         SoakSite site = new SoakSite(new Random(1), null);
-        site.addConductor(Files.createTempDirectory("clock"), operated, SETTINGS);
+        site.addConductor(Files.createTempDirectory("clock"), hasControl, SETTINGS);
         site.addServer(Role.READER, 0);
         site.addServer(Role.WRITER, 0);
         site.addServer(Role.WRITER, 0);
@@ -53,10 +54,11 @@
                 + "Content-Length: 2\r\n\r\n{}";
     }
 
-    private static void load(ConductorProcess conductor, AtomicBoolean over, AtomicInteger served) throws IOException {
-        try (HttpConnection connection = HttpConnection.to(conductor.address, PATIENCE_MS)) {
-            connection.timeout(PATIENCE_MS);
-            while (!over.get()) {
+    private static void sendUntil(ConductorProcess conductor, AtomicBoolean finished, AtomicInteger served)
+            throws IOException {
+        try (HttpConnection connection = HttpConnection.connect(conductor.address, ANSWER_TIMEOUT_MS)) {
+            connection.setReadTimeout(ANSWER_TIMEOUT_MS);
+            while (!finished.get()) {
                 connection.send(request("id" + System.nanoTime()));
                 HttpConnection.Message answer = connection.read();
                 served.addAndGet(answer.word(1).equals("200") ? 1 : 0);
@@ -64,53 +66,53 @@
         }
     }
 
-    private static long attempts(SoakSite site, ServerStandIn at, long since) {
+    private static long attemptCount(SoakSite site, ServerStandIn server, long since) {
         return site.history.inOrder().stream()
                 .filter(o ->
-                        o instanceof Observation.AttemptArrived a && a.server().equals(at.id) && a.at() > since)
+                        o instanceof Observation.AttemptArrived a && a.server().equals(server.id) && a.at() > since)
                 .count();
     }
 
     /** A server that starts after the step gets few requests while it is cold, and its full share once it is warm. */
     @Test(dataProvider = "steps")
     public void aServerThatStartsAfterwardsIsColdAndThenWarm(int seconds) throws Exception {
-        try (SoakSite site = site(false)) {
+        try (SoakSite site = startSite(false)) {
             ConductorProcess conductor = site.conductors.get(0);
-            AtomicBoolean over = new AtomicBoolean();
+            AtomicBoolean finished = new AtomicBoolean();
             AtomicInteger served = new AtomicInteger();
             for (int i = 0; i < CLIENTS; i++) {
-                Daemon.start("client", () -> load(conductor, over, served));
+                Daemon.start("client", () -> sendUntil(conductor, finished, served));
             }
             Thread.sleep(1200); // of load, so that the conductor knows the demand
             ServerStandIn warm = site.servers.get("s-2");
             site.stepClock(Duration.ofSeconds(seconds));
             Thread.sleep(700); // so that the server starts clearly after the step
-            long began = System.nanoTime();
+            long addedAt = System.nanoTime();
             ServerStandIn cold = site.addServer(Role.WRITER, site.wallClockMs());
             Thread.sleep(600);
-            long atCold = attempts(site, cold, began);
-            long atWarm = attempts(site, warm, began);
+            long atCold = attemptCount(site, cold, addedAt);
+            long atWarm = attemptCount(site, warm, addedAt);
             Thread.sleep(2500);
-            long later = System.nanoTime();
+            long warmSince = System.nanoTime();
             Thread.sleep(1000);
-            over.set(true);
+            finished.set(true);
             assertTrue(served.get() > 0 && atWarm > 0, "there is load");
             assertTrue(atCold * 3 < atWarm, atCold + " at the cold server, " + atWarm + " at a warm one");
-            long atWarmed = attempts(site, cold, later);
+            long atWarmed = attemptCount(site, cold, warmSince);
             assertTrue(
-                    atWarmed * 3 > attempts(site, warm, later),
-                    atWarmed + " once it is warm, " + attempts(site, warm, later));
+                    atWarmed * 3 > attemptCount(site, warm, warmSince),
+                    atWarmed + " once it is warm, " + attemptCount(site, warm, warmSince));
         }
     }
 
     /** A client that stops sending within a request gets an error or a close in time. */
     @Test(dataProvider = "stepsBack")
     public void anUnfinishedRequestEnds(int seconds) throws Exception {
-        try (SoakSite site = site(false)) {
+        try (SoakSite site = startSite(false)) {
             ConductorProcess conductor = site.conductors.get(0);
             site.stepClock(Duration.ofSeconds(seconds));
-            try (HttpConnection connection = HttpConnection.to(conductor.address, PATIENCE_MS)) {
-                connection.timeout(UNFINISHED_MS);
+            try (HttpConnection connection = HttpConnection.connect(conductor.address, ANSWER_TIMEOUT_MS)) {
+                connection.setReadTimeout(UNFINISHED_TIMEOUT_MS);
                 connection.send("POST /v1/chat");
                 connection.read(); // throws at the timeout if nothing arrives
             }
@@ -120,42 +122,45 @@
     /** Connection attempts to an unreachable server are abandoned, rather than piling up until the system times them out. */
     @Test(dataProvider = "stepsBack")
     public void connectsAreGivenUp(int seconds) throws Exception {
-        try (SoakSite site = site(false)) {
+        try (SoakSite site = startSite(false)) {
             ConductorProcess conductor = site.conductors.get(0);
             site.stepClock(Duration.ofSeconds(seconds));
             FaultProxy cut = site.proxy(conductor, "s-1"); // the only reader, so that each request tries it
-            cut.mode(FaultProxy.Mode.SILENT);
-            AtomicBoolean over = new AtomicBoolean();
+            cut.setMode(FaultProxy.Mode.SILENT);
+            AtomicBoolean finished = new AtomicBoolean();
             for (int i = 0; i < CLIENTS; i++) {
-                Daemon.start("client", () -> load(conductor, over, new AtomicInteger()));
+                Daemon.start("client", () -> sendUntil(conductor, finished, new AtomicInteger()));
             }
             Thread.sleep(3000); // of load on the unreachable server
-            over.set(true);
+            finished.set(true);
             Thread.sleep(1500); // the longest time that the last request may take
-            long left = connecting(cut.address().getPort());
-            assertTrue(left <= 2, left + " connection attempts are left"); // including the proxy's own one, which fills its queue
+            long left = synSentCount(cut.address().getPort());
+            assertTrue(
+                    left <= 2,
+                    left + " connection attempts are left"); // including the proxy's own one, which fills its queue
         }
     }
 
     /** The number of this machine's sockets in state SYN_SENT to this port of 127.0.0.1. */
-    private static long connecting(int port) throws IOException {
-        String waits = String.format(".* 0100007F:%04X 02 .*", port);
+    private static long synSentCount(int port) throws IOException {
+        String synSent = String.format(".* 0100007F:%04X 02 .*", port);
         return Files.readAllLines(Path.of("/proc/net/tcp")).stream()
-                        .filter(l -> l.matches(waits))
+                        .filter(line -> line.matches(synSent))
                         .count()
                 + Files.readAllLines(Path.of("/proc/net/tcp6")).stream()
-                        .filter(l -> l.matches(String.format(".* 0000000000000000FFFF00000100007F:%04X 02 .*", port)))
+                        .filter(line ->
+                                line.matches(String.format(".* 0000000000000000FFFF00000100007F:%04X 02 .*", port)))
                         .count();
     }
 
     /** Neither a silent connection nor an unfinished request delays a stop until the kill. */
     @Test(dataProvider = "stepsBack")
     public void aStopEndsByItself(int seconds) throws Exception {
-        try (SoakSite site = site(false)) {
+        try (SoakSite site = startSite(false)) {
             ConductorProcess conductor = site.conductors.get(0);
             site.stepClock(Duration.ofSeconds(seconds));
-            try (HttpConnection silent = HttpConnection.to(conductor.address, PATIENCE_MS);
-                    HttpConnection half = HttpConnection.to(conductor.address, PATIENCE_MS)) {
+            try (HttpConnection silent = HttpConnection.connect(conductor.address, ANSWER_TIMEOUT_MS);
+                    HttpConnection half = HttpConnection.connect(conductor.address, ANSWER_TIMEOUT_MS)) {
                 half.send("POST /v1/chat");
                 Thread.sleep(200); // until the conductor has read it
                 ConductorProcess.signal(conductor.process(), "TERM");
@@ -167,11 +172,11 @@
 
     /** After an upgrade the new process serves, and keeps what an operator has set. */
     @Test(dataProvider = "stepsBack")
-    public void anUpgradeGoesOn(int seconds) throws Exception {
-        try (SoakSite site = site(true)) {
+    public void anUpgradedProcessServesAndKeepsOperatorSettings(int seconds) throws Exception {
+        try (SoakSite site = startSite(true)) {
             ConductorProcess conductor = site.conductors.get(0);
             Process before = conductor.process();
-            assertTrue(conductor.says("DETACH s-2", "ACK"));
+            assertTrue(conductor.controlAnswers("DETACH s-2", "ACK"));
             site.stepClock(Duration.ofSeconds(seconds));
             conductor.start();
             assertTrue(conductor.awaitReady(10_000) >= 0, "the new process is ready");
@@ -179,23 +184,23 @@
             assertTrue(ConductorProcess.awaitEnd(before, 5000));
             long since = System.nanoTime();
             for (int i = 0; i < 12; i++) {
-                try (HttpConnection connection = HttpConnection.to(conductor.address, PATIENCE_MS)) {
-                    connection.timeout(PATIENCE_MS);
+                try (HttpConnection connection = HttpConnection.connect(conductor.address, ANSWER_TIMEOUT_MS)) {
+                    connection.setReadTimeout(ANSWER_TIMEOUT_MS);
                     connection.send(request("after" + i));
                     assertEquals(connection.read().word(1), "200");
                 }
             }
-            assertEquals(attempts(site, site.servers.get("s-2"), since), 0, "requests at a detached server");
+            assertEquals(attemptCount(site, site.servers.get("s-2"), since), 0, "requests at a detached server");
             before.destroyForcibly();
         }
     }
 
     /** What an operator has set survives a kill and restart, though the wall clock has advanced by an hour. */
     @Test
-    public void whatWasSaidByHandOutlivesARestart() throws Exception {
-        try (SoakSite site = site(true)) {
+    public void operatorSettingsSurviveARestart() throws Exception {
+        try (SoakSite site = startSite(true)) {
             ConductorProcess conductor = site.conductors.get(0);
-            assertTrue(conductor.says("DETACH s-2", "ACK"));
+            assertTrue(conductor.controlAnswers("DETACH s-2", "ACK"));
             Thread.sleep(1500); // more than one interval (1 s) of the heartbeat in the shared folder
             conductor.process().destroyForcibly().waitFor();
             site.stepClock(Duration.ofHours(1));
@@ -203,13 +208,13 @@
             assertTrue(conductor.awaitReady(10_000) >= 0);
             long since = System.nanoTime();
             for (int i = 0; i < 12; i++) {
-                try (HttpConnection connection = HttpConnection.to(conductor.address, PATIENCE_MS)) {
-                    connection.timeout(PATIENCE_MS);
+                try (HttpConnection connection = HttpConnection.connect(conductor.address, ANSWER_TIMEOUT_MS)) {
+                    connection.setReadTimeout(ANSWER_TIMEOUT_MS);
                     connection.send(request("again" + i));
                     assertEquals(connection.read().word(1), "200");
                 }
             }
-            assertEquals(attempts(site, site.servers.get("s-2"), since), 0, "requests at a detached server");
+            assertEquals(attemptCount(site, site.servers.get("s-2"), since), 0, "requests at a detached server");
         }
     }
 }
--- a/src/test/java/copperbeam/soak/QueuedRequestTest.java
+++ b/src/test/java/copperbeam/soak/QueuedRequestTest.java
@@ -17,7 +17,7 @@
 public class QueuedRequestTest {
     private static final int EMFILE = 24;
     private static final long DEADLINE_MS = 3000;
-    private static final int PATIENCE_MS = 5000;
+    private static final int ANSWER_TIMEOUT_MS = 5000;
 
     @DataProvider
     public Object[][] waits() {
@@ -26,30 +26,34 @@
 
     @Test(dataProvider = "waits")
     public void serversAreToldTheTimeThatIsLeft(long queuedMs) throws Exception {
-        SoakSettings settings = SoakSettings.usual(1, true);
+        SoakSettings settings = SoakSettings.defaults(1, true);
         try (SoakSite site = new SoakSite(new Random(1), null);
                 Lateness lateness = Lateness.start()) {
-            ConductorProcess conductor = site.addConductor(Files.createTempDirectory("queued"), false, settings.text());
+            ConductorProcess conductor =
+                    site.addConductor(Files.createTempDirectory("queued"), false, settings.toJson());
             site.addServer(Role.READER, 0);
             site.addServer(Role.WRITER, 0);
             site.start();
             conductor.shim.fail(Fault.ACCEPT, EMFILE, Long.MAX_VALUE);
-            try (HttpConnection connection = HttpConnection.to(conductor.address, PATIENCE_MS)) {
-                connection.timeout(PATIENCE_MS);
+            try (HttpConnection connection = HttpConnection.connect(conductor.address, ANSWER_TIMEOUT_MS)) {
+                connection.setReadTimeout(ANSWER_TIMEOUT_MS);
                 site.history.add(new Observation.Sent(
                         System.nanoTime(), "queued", RequestKind.SAFE, conductor.name, DEADLINE_MS));
-                connection.send(ClientDriver.text(
+                connection.send(ClientDriver.requestText(
                         "queued", RequestKind.SAFE, RequestKind.USUAL_TOKENS, "s", DEADLINE_MS, "{}"));
                 Thread.sleep(queuedMs); // the time in which no connection can be accepted
                 conductor.shim.fail(Fault.ACCEPT, 0, 0);
                 Message answer = connection.read();
                 assertEquals(answer.word(1), "200");
                 site.history.add(
-                        new Observation.Answered(System.nanoTime(), "queued", 200, answer.whole(), answer.body()));
+                        new Observation.Answered(System.nanoTime(), "queued", 200, answer.complete(), answer.body()));
             }
             List<Observation> seen = site.history.inOrder();
-            assertTrue(seen.stream().anyMatch(Observation.AttemptArrived.class::isInstance), "the request reached a server");
-            assertEquals(Oracle.judge(seen, settings.terms(lateness.worstMs())).toString(), "[]");
+            assertTrue(
+                    seen.stream().anyMatch(Observation.AttemptArrived.class::isInstance),
+                    "the request reached a server");
+            assertEquals(
+                    Oracle.judge(seen, settings.oracleTerms(lateness.worstMs())).toString(), "[]");
         }
     }
 }
--- a/src/test/java/copperbeam/soak/SoakTest.java
+++ b/src/test/java/copperbeam/soak/SoakTest.java
@@ -3,7 +3,7 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import copperbeam.soak.SoakRun.Plant;
+import copperbeam.soak.SoakRun.Defect;
 import copperbeam.soak.Violation.Rule;
 import java.nio.file.Files;
 import java.util.List;
@@ -15,26 +15,26 @@
  * under random troubles or without troubles. docs/fault-soak.md describes the long runs.
  */
 public class SoakTest {
-    private static final long PLANTED_SEED = 4;
+    private static final long DEFECT_SEED = 4;
     private static final long LENGTH_MS = 3500;
     private static final long TROUBLED_MS = 11_000;
-    private static final int LEAST_SERVED_PART = 5; // with fewer than 1/5 served the run is inconclusive
+    private static final int MIN_SERVED_DIVISOR = 5; // with fewer than 1/5 served the run is inconclusive
 
     @DataProvider
     public Object[][] plants() {
         return new Object[][] {
-            {Plant.TELL_TOO_MUCH, Rule.DEADLINE_TOLD},
-            {Plant.MISPLACED_RELEASES, Rule.PINNED},
-            {Plant.OTHER_IDS, Rule.WRONG_ANSWER},
+            {Defect.OVERSTATED_DEADLINE, Rule.DEADLINE_TOLD},
+            {Defect.MISPLACED_RELEASES, Rule.PINNED},
+            {Defect.CHANGED_REQUEST_IDS, Rule.WRONG_ANSWER},
         };
     }
 
     @Test(dataProvider = "plants")
-    public void aPlantedFaultIsFound(Plant plant, Rule rule) throws Exception {
-        SoakRun.Size size = new SoakRun.Size(2, 12, 2, 2, LENGTH_MS, plant);
-        try (SoakRun run = new SoakRun(PLANTED_SEED, size, Files.createTempDirectory("soak"))) {
-            List<Violation> violations = run.play();
-            assertTrue(run.sent() > 50, "load: " + run.sent());
+    public void aPlantedFaultIsFound(Defect defect, Rule rule) throws Exception {
+        SoakRun.Size size = new SoakRun.Size(2, 12, 2, 2, LENGTH_MS, defect);
+        try (SoakRun run = new SoakRun(DEFECT_SEED, size, Files.createTempDirectory("soak"))) {
+            List<Violation> violations = run.execute();
+            assertTrue(run.sentCount() > 50, "load: " + run.sentCount());
             assertTrue(violations.stream().anyMatch(v -> v.rule() == rule), violations.toString());
         }
     }
@@ -50,19 +50,21 @@
     public void overlappingTroublesBreakNoRule(int seed) throws Exception {
         SoakRun.Size size = new SoakRun.Size(3, 12, 3, 5, TROUBLED_MS, null);
         try (SoakRun run = new SoakRun(seed, size, Files.createTempDirectory("soak"))) {
-            List<Violation> violations = run.play();
+            List<Violation> violations = run.execute();
             violations.forEach(v -> run.evidence(v).forEach(System.out::println));
             assertEquals(violations.toString(), "[]"); // compared as text, as TestNG prints only the sizes of two lists
-            assertTrue(run.served() > run.sent() / LEAST_SERVED_PART, run.served() + " served of " + run.sent());
+            assertTrue(
+                    run.servedCount() > run.sentCount() / MIN_SERVED_DIVISOR,
+                    run.servedCount() + " served of " + run.sentCount());
         }
     }
 
     @Test
     public void withoutTroublesNoRuleIsBroken() throws Exception {
         SoakRun.Size size = new SoakRun.Size(2, 12, 2, 2, LENGTH_MS, null);
-        try (SoakRun run = new SoakRun(PLANTED_SEED, size, Files.createTempDirectory("soak"))) {
-            assertEquals(run.play(), List.of());
-            assertTrue(run.served() > 50, "load: " + run.served());
+        try (SoakRun run = new SoakRun(DEFECT_SEED, size, Files.createTempDirectory("soak"))) {
+            assertEquals(run.execute(), List.of());
+            assertTrue(run.servedCount() > 50, "load: " + run.servedCount());
         }
     }
 }
--- a/src/test/java/copperbeam/soak/StartTest.java
+++ b/src/test/java/copperbeam/soak/StartTest.java
@@ -18,15 +18,16 @@
     private static final int SIGTERM = 15;
     private static final int EMFILE = 24;
     private static final int ENFILE = 23;
-    private static final int END_MS = 20_000;
-    private static final int MOST_LINES = 60; // that the log may grow by
+    private static final int END_TIMEOUT_MS = 20_000;
+    private static final int MAX_LOG_LINES = 60; // that the log may grow by
     private static final long STOP_DEADLINE_MS = 1500; // by which the kill comes 2.2 s after SIGTERM
-    private static final int UNHEARD_MS = 900; // request deadline, within the stop, so that releases are due until its end
-    private static final int ON_ITS_WAY_MS = 100; // time for the request to reach the conductor before SIGTERM
+    private static final int REQUEST_DEADLINE_MS =
+            900; // request deadline, within the stop, so that releases are due until its end
+    private static final int TRANSIT_MS = 100; // time for the request to reach the conductor before SIGTERM
 
-    private final Path folder = temporary();
+    private final Path folder = newTemporaryFolder();
 
-    private static Path temporary() {
+    private static Path newTemporaryFolder() {
         try {
             return Files.createTempDirectory("start");
         } catch (IOException e) {
@@ -34,12 +35,12 @@
         }
     }
 
-    private SoakSite site(boolean operated) throws IOException {
+    private SoakSite newSite(boolean hasControl) throws IOException {
         SoakSite site = new SoakSite(new Random(1), null);
         site.addConductor(
                 Files.createTempDirectory(folder, "site"),
-                operated,
-                SoakSettings.usual(1, true).text());
+                hasControl,
+                SoakSettings.defaults(1, true).toJson());
         site.addServer(Role.READER, 0);
         site.addServer(Role.WRITER, 0);
         site.newAgent(site.conductors.get(0));
@@ -49,11 +50,11 @@
     /** A process that listens may have accepted requests already, so a signal from then on must cause an orderly stop. */
     @Test
     public void aSignalAsItBeginsToListenIsAnOrderlyStop() throws Exception {
-        try (SoakSite site = site(false)) {
+        try (SoakSite site = newSite(false)) {
             ConductorProcess conductor = site.conductors.get(0);
             conductor.shim.signalAtListen(SIGTERM);
             Process process = conductor.start();
-            assertTrue(ConductorProcess.awaitEnd(process, END_MS), "the process exits");
+            assertTrue(ConductorProcess.awaitEnd(process, END_TIMEOUT_MS), "the process exits");
             assertEquals(process.exitValue(), 0);
         }
     }
@@ -61,13 +62,14 @@
     /** A process that can't start exits with an error, so that its supervisor needn't wait for a readiness that never comes. */
     @Test
     public void aStartThatFailsEnds() throws Exception {
-        for (int survived = 0; survived < 4; survived++) {
-            try (SoakSite site = site(false)) {
+        for (int sparedCalls = 0; sparedCalls < 4; sparedCalls++) {
+            try (SoakSite site = newSite(false)) {
                 ConductorProcess conductor = site.conductors.get(0);
-                conductor.shim.failAfter(Fault.EPOLL_CREATE, EMFILE, survived);
+                conductor.shim.failAfter(Fault.EPOLL_CREATE, EMFILE, sparedCalls);
                 Process process = conductor.start();
-                boolean ended = ConductorProcess.awaitEnd(process, survived == 0 ? END_MS : 4000);
-                assertTrue(ended || conductor.awaitReady(END_MS) >= 0, "neither exited nor ready: " + survived);
+                boolean ended = ConductorProcess.awaitEnd(process, sparedCalls == 0 ? END_TIMEOUT_MS : 4000);
+                assertTrue(
+                        ended || conductor.awaitReady(END_TIMEOUT_MS) >= 0, "neither exited nor ready: " + sparedCalls);
                 assertTrue(!ended || process.exitValue() == 1, "exit code");
             }
         }
@@ -79,36 +81,38 @@
      */
     @Test
     public void aSocketThatFailsOnceAtTheStartIsOutlived() throws Exception {
-        for (int survived = 0; survived < 4; survived++) {
-            try (SoakSite site = site(true)) {
+        for (int sparedCalls = 0; sparedCalls < 4; sparedCalls++) {
+            try (SoakSite site = newSite(true)) {
                 ConductorProcess conductor = site.conductors.get(0);
-                conductor.shim.failAfter(Fault.SOCKET, ENFILE, survived, 1);
+                conductor.shim.failAfter(Fault.SOCKET, ENFILE, sparedCalls, 1);
                 conductor.start();
-                assertTrue(conductor.awaitReady(10_000) >= 0, "not ready in time; socket calls that succeeded first: " + survived);
-                assertTrue(conductor.shim.failed(Fault.SOCKET) == 1, "one socket call failed");
+                assertTrue(
+                        conductor.awaitReady(10_000) >= 0,
+                        "not ready in time; socket calls that succeeded first: " + sparedCalls);
+                assertTrue(conductor.shim.failedCount(Fault.SOCKET) == 1, "one socket call failed");
             }
         }
     }
 
     /** While connections of operators can't be accepted, the process neither floods its log nor spins. */
     @Test
-    public void aDoorWithoutDescriptorsRests() throws Exception {
-        try (SoakSite site = site(true)) {
+    public void operatorConnectionsThatFailToBeAcceptedDontSpin() throws Exception {
+        try (SoakSite site = newSite(true)) {
             ConductorProcess conductor = site.conductors.get(0);
             Process process = conductor.start();
-            assertTrue(conductor.awaitReady(END_MS) >= 0);
+            assertTrue(conductor.awaitReady(END_TIMEOUT_MS) >= 0);
             conductor.shim.fail(Fault.ACCEPT, ENFILE, Long.MAX_VALUE);
-            long before = lines(conductor);
-            List<Socket> callers = new ArrayList<>();
+            long linesBefore = logLines(conductor);
+            List<Socket> connections = new ArrayList<>();
             for (int i = 0; i < 3; i++) {
-                callers.add(conductor.caller());
+                connections.add(conductor.connectToControl());
             }
             Thread.sleep(1500); // the time in which accept fails
             conductor.shim.fail(Fault.ACCEPT, 0, 0);
-            assertTrue(lines(conductor) - before < MOST_LINES, lines(conductor) - before + " lines");
-            assertTrue(conductor.awaitReady(END_MS) >= 0, "ready again");
-            for (Socket caller : callers) {
-                caller.close();
+            assertTrue(logLines(conductor) - linesBefore < MAX_LOG_LINES, logLines(conductor) - linesBefore + " lines");
+            assertTrue(conductor.awaitReady(END_TIMEOUT_MS) >= 0, "ready again");
+            for (Socket connection : connections) {
+                connection.close();
             }
             assertTrue(process.isAlive());
         }
@@ -128,30 +132,30 @@
     public void aStopThatWaitsForReleasesIsOverAtTheKill(boolean kept) throws Exception {
         SoakSettings settings = new SoakSettings(1, STOP_DEADLINE_MS, 1000, true, true, true, false);
         try (SoakSite site = new SoakSite(new Random(1), null)) {
-            site.addConductor(Files.createTempDirectory(folder, "site"), true, settings.text());
+            site.addConductor(Files.createTempDirectory(folder, "site"), true, settings.toJson());
             for (Role role : Role.values()) {
                 site.addServer(role, 0);
                 site.addServer(role, 0);
             }
             site.start();
             ConductorProcess conductor = site.conductors.get(0);
-            try (HttpConnection client = HttpConnection.to(conductor.address, END_MS)) {
-                client.timeout(END_MS);
-                client.send(text("heard"));
+            try (HttpConnection client = HttpConnection.connect(conductor.address, END_TIMEOUT_MS)) {
+                client.setReadTimeout(END_TIMEOUT_MS);
+                client.send(requestText("heard"));
                 assertEquals(client.read().word(1), "200");
             }
             for (ServerStandIn server : site.servers.values()) {
                 for (FaultProxy proxy : site.proxiesOf(server)) {
-                    proxy.mode(FaultProxy.Mode.SILENT);
+                    proxy.setMode(FaultProxy.Mode.SILENT);
                     if (!kept) {
                         proxy.resetAll();
                     }
                 }
             }
-            try (HttpConnection client = HttpConnection.to(conductor.address, END_MS)) {
-                client.timeout(END_MS);
-                client.send(text("unheard"));
-                Thread.sleep(ON_ITS_WAY_MS);
+            try (HttpConnection client = HttpConnection.connect(conductor.address, END_TIMEOUT_MS)) {
+                client.setReadTimeout(END_TIMEOUT_MS);
+                client.send(requestText("unheard"));
+                Thread.sleep(TRANSIT_MS);
                 ConductorProcess.signal(conductor.process(), "TERM");
                 boolean ended = ConductorProcess.awaitEnd(conductor.process(), settings.killMs());
                 String log = Files.readString(conductor.log());
@@ -162,11 +166,11 @@
         }
     }
 
-    private static String text(String id) {
-        return ClientDriver.text(id, RequestKind.SAFE, RequestKind.USUAL_TOKENS, id, UNHEARD_MS, "{}");
+    private static String requestText(String id) {
+        return ClientDriver.requestText(id, RequestKind.SAFE, RequestKind.USUAL_TOKENS, id, REQUEST_DEADLINE_MS, "{}");
     }
 
-    private static long lines(ConductorProcess conductor) throws IOException {
+    private static long logLines(ConductorProcess conductor) throws IOException {
         return Files.readAllLines(conductor.log()).size();
     }
 }
--- a/src/test/java/copperbeam/sockets/AttemptTimeTest.java
+++ b/src/test/java/copperbeam/sockets/AttemptTimeTest.java
@@ -8,8 +8,8 @@
 import copperbeam.Api.Report;
 import copperbeam.program.Config;
 import copperbeam.protocol.HttpCall;
-import copperbeam.routing.Ask;
 import copperbeam.routing.Connector;
+import copperbeam.routing.RequestSpec;
 import copperbeam.transport.ClientReactor;
 import copperbeam.transport.ServerConnector;
 import java.io.IOException;
@@ -31,18 +31,19 @@
 
 /** The remaining time that an attempt tells its server in X-Timeout, and what may no longer be sent when it is over. */
 public class AttemptTimeTest {
-    private static final int CLIENT_MS = 9000;
-    private static final int MARGIN_MS = 20; // the front subtracts it from the client's timeout for the response's way back
-    private static final int LAPSE_MS = 300;
+    private static final int CLIENT_TIMEOUT_MS = 9000;
+    private static final int FRONT_MARGIN_MS =
+            20; // the front subtracts it from the client's timeout for the response's way back
+    private static final int WAIT_MS = 300;
 
-    private enum Waits {
+    private enum WaitReason {
         FOR_A_CONNECTION,
         FOR_A_FAILED_ATTEMPT
     }
 
     @DataProvider
     public Object[][] waits() {
-        return new Object[][] {{Waits.FOR_A_CONNECTION}, {Waits.FOR_A_FAILED_ATTEMPT}};
+        return new Object[][] {{WaitReason.FOR_A_CONNECTION}, {WaitReason.FOR_A_FAILED_ATTEMPT}};
     }
 
     /**
@@ -51,79 +52,84 @@
      * the wait.
      */
     @Test(dataProvider = "waits")
-    public void theTimeToldIsWhatIsLeftThen(Waits waits) throws Exception {
-        boolean late = waits == Waits.FOR_A_CONNECTION;
+    public void theTimeoutSentIsWhatRemainsAfterAWait(WaitReason waitReason) throws Exception {
+        boolean connectsLate = waitReason == WaitReason.FOR_A_CONNECTION;
         try (Site site = site("safe", 0)) {
-            AtomicLong on = new AtomicLong(); // when the test ended the wait (nanoTime)
-            CountDownLatch met = new CountDownLatch(1);
-            AtomicReference<String> told = new AtomicReference<>();
-            AtomicBoolean failed = new AtomicBoolean();
+            AtomicLong waitEndedNs = new AtomicLong(); // when the test ended the wait (nanoTime)
+            CountDownLatch attemptReceived = new CountDownLatch(1);
+            AtomicReference<String> timeoutHeader = new AtomicReference<>();
+            AtomicBoolean firstFailed = new AtomicBoolean();
             StandIn reader = new StandIn(
-                    attempts((m, line) -> {
-                        met.countDown();
-                        if (!late && failed.compareAndSet(false, true)) {
-                            Thread.sleep(LAPSE_MS);
-                            on.set(System.nanoTime());
-                            line.answer(500, "");
+                    attempts((request, connection) -> {
+                        attemptReceived.countDown();
+                        if (!connectsLate && firstFailed.compareAndSet(false, true)) {
+                            Thread.sleep(WAIT_MS);
+                            waitEndedNs.set(System.nanoTime());
+                            connection.respond(500, "");
                         } else {
-                            told.set(m.header("X-Timeout"));
-                            Site.read(m, line);
+                            timeoutHeader.set(request.header("X-Timeout"));
+                            Site.answerAsReader(request, connection);
                         }
                     }),
-                    late ? 1 : 50);
-            StandIn writer = new StandIn(Site::write);
+                    connectsLate ? 1 : 50);
+            StandIn writer = new StandIn(Site::answerAsWriter);
             site.readers.add(reader);
             site.writers.add(writer);
-            Line[] others = new Line[late ? 2 : 0]; // they fill the listener's accept queue
-            for (int i = 0; i < others.length; i++) {
-                others[i] = new Line(reader.address());
+            RawConnection[] queueFillers =
+                    new RawConnection[connectsLate ? 2 : 0]; // they fill the listener's accept queue
+            for (int i = 0; i < queueFillers.length; i++) {
+                queueFillers[i] = new RawConnection(reader.address());
             }
-            if (!late) {
-                reader.open();
+            if (!connectsLate) {
+                reader.startAccepting();
             }
-            list(site, Site.entry(reader, "prefill", "active") + "," + Site.entry(writer, "decode", "active"), 2);
-            try (Line client = site.client()) {
-                client.send(Site.request("ask", CLIENT_MS));
-                if (late) {
-                    await("the request has arrived", () -> OperatorsTest.metrics(site.node.door()).get("current") == 1);
+            addToList(site, Site.entry(reader, "prefill", "active") + "," + Site.entry(writer, "decode", "active"), 2);
+            try (RawConnection client = site.client()) {
+                client.send(Site.request("ask", CLIENT_TIMEOUT_MS));
+                if (connectsLate) {
+                    await(
+                            "the request has arrived",
+                            () -> OperatorsTest.metrics(site.node.adminAddress())
+                                            .get("current")
+                                    == 1);
                 } else {
-                    met.await();
+                    attemptReceived.await();
                 }
-                long taken = System.nanoTime();
-                if (late) {
-                    Thread.sleep(LAPSE_MS);
-                    on.set(System.nanoTime());
-                    reader.open();
+                long arrivedNs = System.nanoTime();
+                if (connectsLate) {
+                    Thread.sleep(WAIT_MS);
+                    waitEndedNs.set(System.nanoTime());
+                    reader.startAccepting();
                 }
                 assertEquals(client.read().status(), 200);
-                long left = CLIENT_MS - MARGIN_MS - (on.get() - taken) / 1_000_000;
-                long ms = Long.parseLong(told.get().replace("m", ""));
-                assertTrue(ms <= left, ms + " of " + left);
+                long maxRemainingMs = CLIENT_TIMEOUT_MS - FRONT_MARGIN_MS - (waitEndedNs.get() - arrivedNs) / 1_000_000;
+                long timeoutMs = Long.parseLong(timeoutHeader.get().replace("m", ""));
+                assertTrue(timeoutMs <= maxRemainingMs, timeoutMs + " of " + maxRemainingMs);
             }
         }
     }
 
     /** The reactor's thread is blocked between the call and the write: X-Timeout is what remains at the write. */
     @Test
-    public void theTimeToldIsThatOfTheWrite() throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
-        CountDownLatch held = new CountDownLatch(1);
-        AtomicReference<Duration> left = new AtomicReference<>(Duration.ofSeconds(5));
-        try (StandIn server = new StandIn(Site::read);
+    public void theTimeoutSentIsWhatRemainsAtTheWrite() throws Exception {
+        CountDownLatch unblock = new CountDownLatch(1);
+        CountDownLatch reactorBlocked = new CountDownLatch(1);
+        AtomicReference<Duration> remaining = new AtomicReference<>(Duration.ofSeconds(5));
+        try (StandIn server = new StandIn(Site::answerAsReader);
                 ClientReactor reactor = new ClientReactor()) {
             ServerConnector connector = new ServerConnector(reactor);
-            Connector.Connection first = up(connector, server.address());
-            Connector.Connection second = up(connector, server.address());
-            call(first, left, () -> {
-                held.countDown();
-                hold(go);
+            Connector.Connection first = openConnection(connector, server.address());
+            Connector.Connection second = openConnection(connector, server.address());
+            sendAttempt(first, remaining, () -> {
+                reactorBlocked.countDown();
+                awaitLatch(unblock);
             });
-            held.await();
-            CompletableFuture<Boolean> answered = call(second, left, () -> {});
-            left.set(Duration.ofSeconds(1));
-            go.countDown();
-            answered.get(Line.PATIENCE_MS, TimeUnit.MILLISECONDS);
-            assertEquals(server.seen.get(1).header("X-Timeout"), "1000m");
+            reactorBlocked.await();
+            CompletableFuture<Boolean> answered = sendAttempt(second, remaining, () -> {});
+            remaining.set(Duration.ofSeconds(1));
+            unblock.countDown();
+            answered.get(RawConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS);
+            assertEquals(server.requests.get(1).header("X-Timeout"), "1000m");
         }
     }
 
@@ -132,36 +138,38 @@
      * of the answer is read before the close.
      */
     @Test
-    public void whatHasComeIsReadBeforeACut() throws Exception {
-        CountDownLatch asked = new CountDownLatch(1);
-        CountDownLatch answer = new CountDownLatch(1);
+    public void receivedBytesAreReadBeforeAClose() throws Exception {
+        CountDownLatch requestReceived = new CountDownLatch(1);
+        CountDownLatch allowAnswer = new CountDownLatch(1);
         CountDownLatch answered = new CountDownLatch(1);
-        CountDownLatch held = new CountDownLatch(1);
-        CountDownLatch go = new CountDownLatch(1);
-        AtomicReference<Duration> left = new AtomicReference<>(Duration.ofSeconds(5));
-        try (StandIn server = new StandIn((m, line) -> {
-                    asked.countDown();
-                    answer.await();
-                    Site.read(m, line);
+        CountDownLatch reactorBlocked = new CountDownLatch(1);
+        CountDownLatch unblock = new CountDownLatch(1);
+        AtomicReference<Duration> remaining = new AtomicReference<>(Duration.ofSeconds(5));
+        try (StandIn server = new StandIn((request, connection) -> {
+                    requestReceived.countDown();
+                    allowAnswer.await();
+                    Site.answerAsReader(request, connection);
                     answered.countDown();
                 });
-                StandIn other = new StandIn(Site::read);
+                StandIn other = new StandIn(Site::answerAsReader);
                 ClientReactor reactor = new ClientReactor()) {
             ServerConnector connector = new ServerConnector(reactor);
-            Connector.Connection cut = up(connector, server.address());
-            Connector.Connection holds = up(connector, other.address());
-            CompletableFuture<Boolean> end = call(cut, left, () -> {});
-            asked.await();
-            call(holds, left, () -> {
-                held.countDown();
-                hold(go);
+            Connector.Connection closingConnection = openConnection(connector, server.address());
+            Connector.Connection blockingConnection = openConnection(connector, other.address());
+            CompletableFuture<Boolean> completed = sendAttempt(closingConnection, remaining, () -> {});
+            requestReceived.await();
+            sendAttempt(blockingConnection, remaining, () -> {
+                reactorBlocked.countDown();
+                awaitLatch(unblock);
             });
-            held.await();
-            answer.countDown();
+            reactorBlocked.await();
+            allowAnswer.countDown();
             answered.await();
-            cut.readOut(cut::close);
-            go.countDown();
-            assertTrue(end.get(Line.PATIENCE_MS, TimeUnit.MILLISECONDS), "the end of the answer had arrived");
+            closingConnection.readOut(closingConnection::close);
+            unblock.countDown();
+            assertTrue(
+                    completed.get(RawConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS),
+                    "the end of the answer had arrived");
         }
     }
 
@@ -170,18 +178,22 @@
      * for the time that remains.
      */
     @Test
-    public void aHeadThatHasGrownOldIsNotFollowedByItsLastByte() throws Exception {
+    public void anOutdatedHeadIsNotFollowedByTheLastByte() throws Exception {
         for (int passedMs : new int[] {0, 200}) {
-            AtomicReference<Duration> left = new AtomicReference<>(Duration.ofSeconds(5));
-            try (StandIn server = new StandIn(Site::read);
+            AtomicReference<Duration> remaining = new AtomicReference<>(Duration.ofSeconds(5));
+            try (StandIn server = new StandIn(Site::answerAsReader);
                     ClientReactor reactor = new ClientReactor()) {
-                Connector.Connection connection = up(new ServerConnector(reactor), server.address());
-                CompletableFuture<Boolean> answered = call(connection, left, true, () -> {}, () -> {
-                    left.updateAndGet(l -> l.minusMillis(passedMs));
-                    connection.let();
+                Connector.Connection connection = openConnection(new ServerConnector(reactor), server.address());
+                CompletableFuture<Boolean> answered = sendAttempt(connection, remaining, true, () -> {}, () -> {
+                    remaining.updateAndGet(l -> l.minusMillis(passedMs));
+                    connection.sendLastByte();
                 });
-                assertEquals(answered.get(Line.PATIENCE_MS, TimeUnit.MILLISECONDS), Boolean.valueOf(passedMs == 0));
-                await("its connection is closed", () -> passedMs == 0 || !server.lines.isEmpty() && server.lines.get(0).ended);
+                assertEquals(
+                        answered.get(RawConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS), Boolean.valueOf(passedMs == 0));
+                await(
+                        "its connection is closed",
+                        () -> passedMs == 0
+                                || !server.connections.isEmpty() && server.connections.get(0).closedByStandIn);
                 assertEquals(server.attempts(), passedMs == 0 ? 1 : 0);
             }
         }
@@ -192,16 +204,16 @@
      * attempt has ended.
      */
     @Test
-    public void aBodyThatWaitsForRoomStaysOnceItsTimeIsOver() throws Exception {
+    public void aBlockedBodyIsNotSentAfterItsAttemptEnded() throws Exception {
         CountDownLatch answered = new CountDownLatch(1);
-        List<Line.Message> read = new CopyOnWriteArrayList<>();
+        List<RawConnection.Message> bodiesRead = new CopyOnWriteArrayList<>();
         try (Site site = new Site(1, 1);
-                Line client = site.client()) {
-            site.readers.get(0).opening = line -> {
-                Line.Message head = line.head();
+                RawConnection client = site.client()) {
+            site.readers.get(0).onConnect = connection -> {
+                RawConnection.Message head = connection.readHead();
                 if (head.method().equals("POST")) {
                     answered.await();
-                    read.add(line.rest(head));
+                    bodiesRead.add(connection.readBody(head));
                 }
                 throw new IOException("it reads again only on a new connection");
             };
@@ -209,9 +221,11 @@
             client.send(Site.request("id", "ask", "1000m", "prompt_len=40", body));
             assertTrue(client.read().status() != 200);
             answered.countDown();
-            List<Line> lines = site.readers.get(0).lines;
-            await("its server has read on", () -> !lines.isEmpty() && lines.get(0).ended);
-            assertTrue(read.stream().noneMatch(Line.Message::whole), "the whole body arrived after the attempt had ended");
+            List<RawConnection> connections = site.readers.get(0).connections;
+            await("its server has read on", () -> !connections.isEmpty() && connections.get(0).closedByStandIn);
+            assertTrue(
+                    bodiesRead.stream().noneMatch(RawConnection.Message::complete),
+                    "the whole body arrived after the attempt had ended");
         }
     }
 
@@ -221,60 +235,69 @@
      */
     @SuppressWarnings("try") // two connections only fill the server's accept queue
     @Test
-    public void aKeyedRepeatIsNotWrittenAfterItsWindow() throws Exception {
+    public void aKeyedRetryIsNotSentAfterItsWindow() throws Exception {
         int windowMs = 1500;
         try (Site site = site("keyed", windowMs / 1000.0)) {
-            CountDownLatch met = new CountDownLatch(1);
-            CountDownLatch go = new CountDownLatch(1);
-            AtomicLong first = new AtomicLong();
-            StandIn reader = new StandIn(Site::read);
-            StandIn fails = new StandIn(attempts((m, line) -> {
-                first.set(System.nanoTime());
-                met.countDown();
-                go.await();
-                line.answer(500, "");
+            CountDownLatch attemptReceived = new CountDownLatch(1);
+            CountDownLatch allowFailure = new CountDownLatch(1);
+            AtomicLong firstAttemptNs = new AtomicLong();
+            StandIn reader = new StandIn(Site::answerAsReader);
+            StandIn failingWriter = new StandIn(attempts((request, connection) -> {
+                firstAttemptNs.set(System.nanoTime());
+                attemptReceived.countDown();
+                allowFailure.await();
+                connection.respond(500, "");
             }));
-            StandIn late = new StandIn(Site::write, 1);
+            StandIn lateWriter = new StandIn(Site::answerAsWriter, 1);
             site.readers.add(reader);
-            site.writers.addAll(List.of(fails, late));
-            try (Line firstInQueue = new Line(late.address());
-                    Line secondInQueue = new Line(late.address());
-                    Line client = site.client()) {
-                list(site, Site.entry(reader, "prefill", "active") + "," + Site.entry(fails, "decode", "active"), 2);
-                client.send(Site.request("ask", CLIENT_MS));
-                met.await();
-                list(site, Site.entry(late, "decode", "active") + "," + Site.entry(fails, "decode", "leaving"), 3);
-                go.countDown();
-                long over = first.get() + (windowMs + 1) * 1_000_000L;
-                while (System.nanoTime() < over) {
+            site.writers.addAll(List.of(failingWriter, lateWriter));
+            try (RawConnection firstInQueue = new RawConnection(lateWriter.address());
+                    RawConnection secondInQueue = new RawConnection(lateWriter.address());
+                    RawConnection client = site.client()) {
+                addToList(
+                        site,
+                        Site.entry(reader, "prefill", "active") + "," + Site.entry(failingWriter, "decode", "active"),
+                        2);
+                client.send(Site.request("ask", CLIENT_TIMEOUT_MS));
+                attemptReceived.await();
+                addToList(
+                        site,
+                        Site.entry(lateWriter, "decode", "active") + ","
+                                + Site.entry(failingWriter, "decode", "leaving"),
+                        3);
+                allowFailure.countDown();
+                long windowEndNs = firstAttemptNs.get() + (windowMs + 1) * 1_000_000L;
+                while (System.nanoTime() < windowEndNs) {
                     Thread.sleep(10); // waits until the window is over
                 }
-                late.open();
+                lateWriter.startAccepting();
                 assertEquals(
                         client.read().status(), 502); // the first attempt may have run, and a repeat would now run too
-                await("its connection came up", () -> late.lines.size() == 3);
-                assertEquals(late.attempts(), 0);
+                await("its connection came up", () -> lateWriter.connections.size() == 3);
+                assertEquals(lateWriter.attempts(), 0);
             }
         }
     }
 
-    private static Site site(String effect, double windowS) throws Exception {
-        // no attempt is cancelled for its silence, and a read state is held longer than its request waits for a connection
-        String settings = String.format(Site.SETTINGS, "30")
+    private static Site site(String semantics, double windowS) throws Exception {
+        // no attempt is cancelled for its silence, and a read state is held longer than its request waits for a
+        // connection
+        String settings = String.format(Site.SETTINGS_FORMAT, "30")
                 .replace("\"cancel\":true", "\"cancel\":false")
                 .replace("\"release_s\":1", "\"release_s\":20")
                 .replace(
                         "\"semantics\":\"safe\"",
-                        "\"semantics\":\"" + effect + "\",\"group\":\"all\",\"window_s\":" + windowS);
-        return new Site(0, 0, 30, null, List.of(), Config.Limits.USUAL, Site.parsed(settings), Duration.ofSeconds(8));
+                        "\"semantics\":\"" + semantics + "\",\"group\":\"all\",\"window_s\":" + windowS);
+        return new Site(
+                0, 0, 30, null, List.of(), Config.Limits.DEFAULT, Site.parseSettings(settings), Duration.ofSeconds(8));
     }
 
-    private static void list(Site site, String change, int version) throws Exception {
-        site.changes.add(change);
-        await("listed", () -> site.discovery.count(m -> m.path().contains("from=" + version + "&")) > 0);
+    private static void addToList(Site site, String entries, int version) throws Exception {
+        site.listChanges.add(entries);
+        await("listed", () -> site.discovery.count(request -> request.path().contains("from=" + version + "&")) > 0);
     }
 
-    private static void hold(CountDownLatch latch) {
+    private static void awaitLatch(CountDownLatch latch) {
         try {
             latch.await();
         } catch (InterruptedException e) {
@@ -282,69 +305,72 @@
         }
     }
 
-    private static Connector.Connection up(Connector connector, InetSocketAddress to) throws Exception {
-        CompletableFuture<Connector.Connection> up = new CompletableFuture<>();
-        connector.connect(to, Duration.ofSeconds(5), new Connector.Watcher() {
+    private static Connector.Connection openConnection(Connector connector, InetSocketAddress address)
+            throws Exception {
+        CompletableFuture<Connector.Connection> opened = new CompletableFuture<>();
+        connector.connect(address, Duration.ofSeconds(5), new Connector.ConnectionListener() {
             @Override
-            public void up(Connector.Connection connection) {
-                up.complete(connection);
+            public void connected(Connector.Connection connection) {
+                opened.complete(connection);
             }
 
             @Override
-            public void failed() {
-                up.cancel(false);
+            public void connectFailed() {
+                opened.cancel(false);
             }
 
             @Override
             public void closed(Connector.Connection connection) {}
         });
-        return up.get(Line.PATIENCE_MS, TimeUnit.MILLISECONDS);
+        return opened.get(RawConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS);
     }
 
     /** Sends an attempt; {@code onAnswer} runs on the reactor's thread. The result tells whether the answer was complete. */
-    private static CompletableFuture<Boolean> call(
-            Connector.Connection on, AtomicReference<Duration> left, Runnable answered) {
-        return call(on, left, false, answered, () -> {});
+    private static CompletableFuture<Boolean> sendAttempt(
+            Connector.Connection connection, AtomicReference<Duration> remaining, Runnable onAnswer) {
+        return sendAttempt(connection, remaining, false, onAnswer, () -> {});
     }
 
-    private static CompletableFuture<Boolean> call(
-            Connector.Connection on,
-            AtomicReference<Duration> left,
-            boolean hold,
-            Runnable answered,
-            Runnable toldHeld) {
-        CompletableFuture<Boolean> end = new CompletableFuture<>();
-        HttpCall call = new HttpCall(
+    private static CompletableFuture<Boolean> sendAttempt(
+            Connector.Connection connection,
+            AtomicReference<Duration> remaining,
+            boolean holdLastByte,
+            Runnable onAnswer,
+            Runnable onLastByteHeld) {
+        CompletableFuture<Boolean> completed = new CompletableFuture<>();
+        HttpCall httpCall = new HttpCall(
                 "POST", "/v1/chat/completions", Map.of(), "{}".getBytes(StandardCharsets.US_ASCII), Instant.now());
-        Ask ask = new Ask("id", "ask", "k", null, 40, 0, 9, Instant.now().plusSeconds(8), false, call);
-        Connector.Call attempt = new Connector.AttemptCall(ask, true, left::get, hold, () -> true, () -> true);
-        on.call(attempt, new Connector.Listener() {
+        RequestSpec spec =
+                new RequestSpec("id", "ask", "k", null, 40, 0, 9, Instant.now().plusSeconds(8), false, httpCall);
+        Connector.Call attempt =
+                new Connector.AttemptCall(spec, true, remaining::get, holdLastByte, () -> true, () -> true);
+        connection.call(attempt, new Connector.CallListener() {
             @Override
             public void sent() {}
 
             @Override
-            public void held() {
-                toldHeld.run();
+            public void lastByteHeld() {
+                onLastByteHeld.run();
             }
 
             @Override
-            public void word(Connector.Word word, Report report) {
-                answered.run();
+            public void answerClassified(Connector.AnswerKind kind, Report report) {
+                onAnswer.run();
             }
 
             @Override
             public void event(byte[] raw) {}
 
             @Override
-            public void end(boolean reusable, double kept) {
-                end.complete(true);
+            public void end(boolean reusable, double keptTokens) {
+                completed.complete(true);
             }
 
             @Override
-            public void broken(boolean written) {
-                end.complete(false);
+            public void broken(boolean lastByteMayHaveLeft) {
+                completed.complete(false);
             }
         });
-        return end;
+        return completed;
     }
 }
