--- a/src/test/java/copperbeam/sockets/BadClientsTest.java
+++ b/src/test/java/copperbeam/sockets/BadClientsTest.java
@@ -2,7 +2,7 @@
 
 import static copperbeam.sockets.Site.attempts;
 import static copperbeam.sockets.Site.await;
-import static copperbeam.sockets.Site.chat;
+import static copperbeam.sockets.Site.chatRequest;
 import static copperbeam.sockets.Site.request;
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertNull;
@@ -11,7 +11,7 @@
 
 import copperbeam.program.Config;
 import copperbeam.protocol.HttpReply;
-import copperbeam.transport.ClientRoom;
+import copperbeam.transport.ClientConnections;
 import copperbeam.transport.HttpFrontServer;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -30,58 +30,62 @@
 
 /** Clients that send malformed requests, too much, too little or too many. */
 public class BadClientsTest {
-    private static final String POST = "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nX-Request-ID: a\r\n"
+    private static final String POST_START = "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nX-Request-ID: a\r\n"
             + "X-Priority-Class: ask\r\nX-Timeout: 4000m\r\nX-Attrs: prompt_len=4\r\n";
-    private static final String HIDDEN = "0\r\n\r\n" + request("hidden", "ask", "4000m", "", "{}");
+    private static final String SMUGGLED_REQUEST = "0\r\n\r\n" + request("hidden", "ask", "4000m", "", "{}");
 
     @DataProvider
     public Object[][] unreadable() {
         Object[][] cases = {
-            {POST + "Content-Length: -1\r\n\r\n{}", 400},
-            {POST + "Content-Length: +2\r\n\r\n{}", 400},
-            {POST + "Content-Length: two\r\n\r\n{}", 400},
-            {POST + "Content-Length: 99999999999999999999\r\n\r\n{}", 400},
-            {POST + "Content-Length: 2\r\nContent-Length: 2\r\n\r\n{}", 400},
-            {POST + "Content-Length : 2\r\n\r\n{}", 400},
-            {POST + "Content-Length: " + HIDDEN.length() + "\r\nTransfer-Encoding: chunked\r\n\r\n" + HIDDEN, 400},
-            {POST + "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n{}\r\n0\r\n\r\n", 400},
-            {POST + "Transfer-Encoding: gzip\r\n\r\n{}", 400},
-            {POST + "Transfer-Encoding: chunked\r\n\r\n-2\r\n{}\r\n0\r\n\r\n", 400},
-            {POST + "Transfer-Encoding: chunked\r\n\r\nC0000000\r\n{}", 400},
-            {POST + "Transfer-Encoding: chunked\r\n\r\n2\r\n{}\r\n0\r\nno trailer\r\n\r\n", 400},
-            {POST + "Content-Length: 62914560\r\n\r\n{", 413},
-            {POST + "X: y\r\n".repeat(2000), 431},
-            {POST + "X: " + "y".repeat(20_000), 431},
+            {POST_START + "Content-Length: -1\r\n\r\n{}", 400},
+            {POST_START + "Content-Length: +2\r\n\r\n{}", 400},
+            {POST_START + "Content-Length: two\r\n\r\n{}", 400},
+            {POST_START + "Content-Length: 99999999999999999999\r\n\r\n{}", 400},
+            {POST_START + "Content-Length: 2\r\nContent-Length: 2\r\n\r\n{}", 400},
+            {POST_START + "Content-Length : 2\r\n\r\n{}", 400},
+            {
+                POST_START + "Content-Length: " + SMUGGLED_REQUEST.length() + "\r\nTransfer-Encoding: chunked\r\n\r\n"
+                        + SMUGGLED_REQUEST,
+                400
+            },
+            {POST_START + "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n{}\r\n0\r\n\r\n", 400},
+            {POST_START + "Transfer-Encoding: gzip\r\n\r\n{}", 400},
+            {POST_START + "Transfer-Encoding: chunked\r\n\r\n-2\r\n{}\r\n0\r\n\r\n", 400},
+            {POST_START + "Transfer-Encoding: chunked\r\n\r\nC0000000\r\n{}", 400},
+            {POST_START + "Transfer-Encoding: chunked\r\n\r\n2\r\n{}\r\n0\r\nno trailer\r\n\r\n", 400},
+            {POST_START + "Content-Length: 62914560\r\n\r\n{", 413},
+            {POST_START + "X: y\r\n".repeat(2000), 431},
+            {POST_START + "X: " + "y".repeat(20_000), 431},
             {"\u0001\u0002\u0003\r\n\r\n", 400},
-            {POST.replace("ID: a", "ID: a\u0000b") + "Content-Length: 2\r\n\r\n{}", 400},
-            {POST + "X-Route-Key: a\rX: b\r\nContent-Length: 2\r\n\r\n{}", 400},
-            {POST + "X-Route-Key: a\u0000b\r\nContent-Length: 2\r\n\r\n{}", 400},
-            {POST.replace("completions", "completions?\u0001") + "Content-Length: 2\r\n\r\n{}", 400},
-            {POST.replace("completions", "completions?\u00e9") + "Content-Length: 2\r\n\r\n{}", 400},
-            {POST, -1},
-            {POST + "Content-Length: 20\r\n\r\n{", -1},
+            {POST_START.replace("ID: a", "ID: a\u0000b") + "Content-Length: 2\r\n\r\n{}", 400},
+            {POST_START + "X-Route-Key: a\rX: b\r\nContent-Length: 2\r\n\r\n{}", 400},
+            {POST_START + "X-Route-Key: a\u0000b\r\nContent-Length: 2\r\n\r\n{}", 400},
+            {POST_START.replace("completions", "completions?\u0001") + "Content-Length: 2\r\n\r\n{}", 400},
+            {POST_START.replace("completions", "completions?\u00e9") + "Content-Length: 2\r\n\r\n{}", 400},
+            {POST_START, -1},
+            {POST_START + "Content-Length: 20\r\n\r\n{", -1},
             {"", -1},
         };
-        List<Object[]> all = new ArrayList<>();
-        for (Object[] one : cases) {
-            all.add(new Object[] {one[0], one[1], false});
-            all.add(new Object[] {one[0], one[1], true});
+        List<Object[]> rows = new ArrayList<>();
+        for (Object[] row : cases) {
+            rows.add(new Object[] {row[0], row[1], false});
+            rows.add(new Object[] {row[0], row[1], true});
         }
-        return all.toArray(Object[][]::new);
+        return rows.toArray(Object[][]::new);
     }
 
     /** {@code status} -1: the connection is closed within 3 s, as the rest of the request never comes. No server gets a request. */
     @Test(dataProvider = "unreadable")
-    public void whatCantBeReadIsAnErrorAndAClose(String text, int status, boolean chat) throws Exception {
+    public void aMalformedRequestIsAnErrorAndAClose(String text, int status, boolean chat) throws Exception {
         try (Site site = new Site(1, 1);
-                Line client = chat ? site.chatClient() : site.client()) {
-            long from = System.nanoTime();
+                RawConnection client = chat ? site.chatClient() : site.client()) {
+            long startNs = System.nanoTime();
             client.send(text);
             if (status > 0) {
                 assertEquals(client.read().status(), status);
             }
             assertTrue(client.awaitClosed());
-            assertTrue(System.nanoTime() - from < (status < 0 ? 3_000_000_000L : 1_500_000_000L));
+            assertTrue(System.nanoTime() - startNs < (status < 0 ? 3_000_000_000L : 1_500_000_000L));
             assertEquals(site.attempts(site.readers), 0);
             assertEquals(site.get("/healthz").status(), 200);
         }
@@ -110,9 +114,9 @@
     @Test(dataProvider = "untrue")
     public void headersThatCantBeTrueAreAnError(String good, String bad) throws Exception {
         try (Site site = new Site(1, 1);
-                Line client = site.client()) {
+                RawConnection client = site.client()) {
             assertEquals(
-                    client.send(POST.replace(good, bad) + "Content-Length: 2\r\n\r\n{}")
+                    client.send(POST_START.replace(good, bad) + "Content-Length: 2\r\n\r\n{}")
                             .read()
                             .status(),
                     400);
@@ -124,8 +128,8 @@
     @Test
     public void aTrickledHeadIsCutOff() throws Exception {
         try (Site site = new Site(1, 1);
-                Line client = site.client()) {
-            long from = System.nanoTime();
+                RawConnection client = site.client()) {
+            long startNs = System.nanoTime();
             boolean[] cut = {false};
             await("cut off", () -> {
                 try {
@@ -135,26 +139,26 @@
                 }
                 return cut[0];
             });
-            assertTrue(System.nanoTime() - from < 4_000_000_000L);
+            assertTrue(System.nanoTime() - startNs < 4_000_000_000L);
         }
     }
 
     /** Servers identify a request by its id alone: a second one with the same id would release the first one's read state. */
     @Test
-    public void theIdOfAnOpenRequestIsAnErrorThatLeavesItAlone() throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
+    public void aDuplicateRequestIdIsRejectedAndLeavesTheOpenRequestAlone() throws Exception {
+        CountDownLatch unblock = new CountDownLatch(1);
         try (Site site = new Site(1, 1);
-                Line first = site.client();
-                Line second = site.client()) {
-            site.writers.get(0).script = attempts((m, line) -> {
-                go.await();
-                Site.write(m, line);
+                RawConnection first = site.client();
+                RawConnection second = site.client()) {
+            site.writers.get(0).script = attempts((message, connection) -> {
+                unblock.await();
+                Site.answerAsWriter(message, connection);
             });
             String text = request("same", "send", "5000m", "", "{}");
             first.send(text);
             await("written", () -> site.attempts(site.writers) == 1);
             assertEquals(second.send(text).read().status(), 409);
-            go.countDown();
+            unblock.countDown();
             assertEquals(first.read().text(), Site.EVENTS);
             assertEquals(site.releases(), 0);
             assertEquals(second.send(text).read().status(), 200); // the id is free again
@@ -164,31 +168,31 @@
     /** Of a hundred pipelined requests eight are handled, the next gets a 503, and the connection is closed. */
     @Test
     public void aFloodOnOneConnectionIsBounded() throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
+        CountDownLatch unblock = new CountDownLatch(1);
         try (Site site = new Site(1, 1);
-                Line flood = site.client();
-                Line good = site.client()) {
-            site.readers.get(0).script = attempts((m, line) -> {
-                if (!m.header("X-Request-ID").equals("good")) {
-                    go.await();
+                RawConnection flood = site.client();
+                RawConnection good = site.client()) {
+            site.readers.get(0).script = attempts((message, connection) -> {
+                if (!message.header("X-Request-ID").equals("good")) {
+                    unblock.await();
                 }
-                Site.read(m, line);
+                Site.answerAsReader(message, connection);
             });
-            StringBuilder all = new StringBuilder();
+            StringBuilder pipelined = new StringBuilder();
             for (int i = 0; i < 100; i++) {
-                all.append(request("f" + i, "ask", "5000m", "", "{}"));
+                pipelined.append(request("f" + i, "ask", "5000m", "", "{}"));
             }
-            flood.send(all.toString());
+            flood.send(pipelined.toString());
             await("eight requests are read", () -> site.attempts(site.readers) == 8);
             assertEquals(
                     good.send(request("good", "ask", "5000m", "", "{}")).read().status(), 200);
             assertEquals(site.attempts(site.readers), 9);
-            go.countDown();
+            unblock.countDown();
             for (int i = 0; i < 8; i++) {
                 assertEquals(flood.read().status(), 200);
             }
             assertEquals(flood.read().status(), 503);
-            assertNull(flood.head());
+            assertNull(flood.readHead());
         }
     }
 
@@ -197,58 +201,59 @@
      * be handled, as it would get no answer.
      */
     @Test
-    public void whatComesBehindTheLastAnswerIsNotSentOn() throws Exception {
-        List<String> heard = new CopyOnWriteArrayList<>();
-        AtomicReference<HttpReply> first = new AtomicReference<>();
+    public void aRequestBehindTheLastAnswerIsNotHandled() throws Exception {
+        List<String> handledPaths = new CopyOnWriteArrayList<>();
+        AtomicReference<HttpReply> firstReply = new AtomicReference<>();
         CountDownLatch busy = new CountDownLatch(1);
-        CountDownLatch go = new CountDownLatch(1);
+        CountDownLatch unblock = new CountDownLatch(1);
         try (HttpFrontServer server = new HttpFrontServer(
                 (call, reply) -> {
-                    heard.add(call.path());
+                    handledPaths.add(call.path());
                     if (call.path().equals("/first")) {
-                        first.set(reply);
+                        firstReply.set(reply);
                         return () -> {};
                     }
                     if (call.path().equals("/holds")) {
                         busy.countDown();
                         try {
-                            go.await(); // the reactor does nothing else meanwhile
+                            unblock.await(); // the reactor does nothing else meanwhile
                         } catch (InterruptedException e) {
                             throw new AssertionError(e);
                         }
                     }
-                    reply.whole(200, "text/plain", Map.of(), new byte[0]);
+                    reply.respond(200, "text/plain", Map.of(), new byte[0]);
                     return () -> {};
                 },
                 Clock.systemUTC(),
-                new ClientRoom(10, 1000),
+                new ClientConnections(10, 1000),
                 (c, status) -> {})) {
-            InetSocketAddress at = server.listen(new InetSocketAddress("127.0.0.1", 0), false);
-            server.drain(true);
-            try (Line client = new Line(at);
-                    Line holds = new Line(at);
-                    Line last = new Line(at)) {
+            InetSocketAddress address = server.listen(new InetSocketAddress("127.0.0.1", 0), false);
+            server.setDraining(true);
+            try (RawConnection client = new RawConnection(address);
+                    RawConnection blocking = new RawConnection(address);
+                    RawConnection lastClient = new RawConnection(address)) {
                 client.send("GET /first HTTP/1.1\r\nHost: x\r\n\r\nGET /second HTTP/1.1\r\nHo");
-                await("the first request is handled", () -> first.get() != null);
-                holds.send("GET /holds HTTP/1.1\r\nHost: x\r\n\r\n");
+                await("the first request is handled", () -> firstReply.get() != null);
+                blocking.send("GET /holds HTTP/1.1\r\nHost: x\r\n\r\n");
                 busy.await();
-                first.get().whole(200, "text/plain", Map.of(), new byte[0]);
+                firstReply.get().respond(200, "text/plain", Map.of(), new byte[0]);
                 client.send("st: x\r\n\r\n");
-                go.countDown();
+                unblock.countDown();
                 assertEquals(client.read().header("Connection"), "close");
                 assertTrue(client.awaitClosed());
                 assertEquals(
-                        last.send("GET /last HTTP/1.1\r\nHost: x\r\n\r\n")
+                        lastClient
+                                .send("GET /last HTTP/1.1\r\nHost: x\r\n\r\n")
                                 .read()
                                 .status(),
                         200);
-                assertEquals(heard, List.of("/first", "/holds", "/last"));
+                assertEquals(handledPaths, List.of("/first", "/holds", "/last"));
             }
         }
     }
 
     /** Stands still until the test advances it. */
-    private static final class Stands extends Clock {
+    private static final class ManualClock extends Clock {
         volatile Instant now = Instant.now();
 
         @Override
@@ -267,33 +272,33 @@
         }
     }
 
-    private enum Until {
-        ITS_TIME,
-        ITS_BYTES,
-        A_DRAIN,
-        A_CROWD
+    private enum CloseCause {
+        TIMEOUT,
+        BYTE_LIMIT,
+        DRAIN,
+        CROWDING
     }
 
     @DataProvider
     public Object[][] turnedAway() {
         return new Object[][] {
-            {POST + "Content-Length: 62914560\r\n\r\n{", 413, Until.ITS_TIME},
-            {POST + "Content-Length: 62914560\r\n\r\n{", 413, Until.ITS_BYTES},
-            {POST + "Content-Length: 62914560\r\n\r\n{", 413, Until.A_DRAIN},
-            {POST + "Content-Length: 62914560\r\n\r\n{", 413, Until.A_CROWD},
-            {POST + "Content-Length: 90000\r\n\r\n" + "x".repeat(5000), 503, Until.ITS_TIME},
-            {POST + "X: y\r\n".repeat(2000), 431, Until.ITS_TIME},
-            {"nonsense\r\n\r\n", 400, Until.ITS_TIME},
-            {"POST / HTTP/1.1\r\nContent-Length: 90000\r\n\r\nx", 400, Until.ITS_TIME}, // no Host
-            {"POST / HTTP/1.1\r\nHost: a:b\r\nContent-Length: 90000\r\n\r\nx", 400, Until.ITS_TIME},
-            {"POST / HTTP/2.0\r\nHost: x\r\nContent-Length: 90000\r\n\r\nx", 505, Until.ITS_TIME},
-            {"GET / HTTP/1.1\r\nHost: x\r\n\r\n".repeat(9), 503, Until.ITS_TIME},
-            {"GET / HTTP/1.1\r\nHost: x\r\n\r\n".repeat(8) + "nonsense\r\n\r\n", 400, Until.ITS_TIME},
-            {POST + "Transfer-Encoding: chunked\r\n\r\n-2\r\n{}", 400, Until.ITS_TIME},
+            {POST_START + "Content-Length: 62914560\r\n\r\n{", 413, CloseCause.TIMEOUT},
+            {POST_START + "Content-Length: 62914560\r\n\r\n{", 413, CloseCause.BYTE_LIMIT},
+            {POST_START + "Content-Length: 62914560\r\n\r\n{", 413, CloseCause.DRAIN},
+            {POST_START + "Content-Length: 62914560\r\n\r\n{", 413, CloseCause.CROWDING},
+            {POST_START + "Content-Length: 90000\r\n\r\n" + "x".repeat(5000), 503, CloseCause.TIMEOUT},
+            {POST_START + "X: y\r\n".repeat(2000), 431, CloseCause.TIMEOUT},
+            {"nonsense\r\n\r\n", 400, CloseCause.TIMEOUT},
+            {"POST / HTTP/1.1\r\nContent-Length: 90000\r\n\r\nx", 400, CloseCause.TIMEOUT}, // no Host
+            {"POST / HTTP/1.1\r\nHost: a:b\r\nContent-Length: 90000\r\n\r\nx", 400, CloseCause.TIMEOUT},
+            {"POST / HTTP/2.0\r\nHost: x\r\nContent-Length: 90000\r\n\r\nx", 505, CloseCause.TIMEOUT},
+            {"GET / HTTP/1.1\r\nHost: x\r\n\r\n".repeat(9), 503, CloseCause.TIMEOUT},
+            {"GET / HTTP/1.1\r\nHost: x\r\n\r\n".repeat(8) + "nonsense\r\n\r\n", 400, CloseCause.TIMEOUT},
+            {POST_START + "Transfer-Encoding: chunked\r\n\r\n-2\r\n{}", 400, CloseCause.TIMEOUT},
             {
-                "GET / HTTP/1.1\r\nHost: x\r\n\r\n" + POST + "Transfer-Encoding: chunked\r\n\r\nno size\r\n",
+                "GET / HTTP/1.1\r\nHost: x\r\n\r\n" + POST_START + "Transfer-Encoding: chunked\r\n\r\nno size\r\n",
                 400,
-                Until.ITS_TIME
+                CloseCause.TIMEOUT
             },
         };
     }
@@ -303,27 +308,27 @@
      * the client might lose the answer.
      */
     @Test(dataProvider = "turnedAway")
-    public void whoIsTurnedAwayMayGoOnWriting(String text, int status, Until until) throws Exception {
-        Stands clock = new Stands();
-        ClientRoom room = new ClientRoom(10, 1000);
+    public void aRejectedClientMayGoOnWriting(String text, int status, CloseCause cause) throws Exception {
+        ManualClock clock = new ManualClock();
+        ClientConnections room = new ClientConnections(10, 1000);
         try (HttpFrontServer server = new HttpFrontServer(
                 (call, reply) -> {
-                    reply.whole(200, "text/plain", Map.of(), new byte[0]);
+                    reply.respond(200, "text/plain", Map.of(), new byte[0]);
                     return () -> {};
                 },
                 clock,
                 room,
                 (c, s) -> {})) {
-            InetSocketAddress at = server.listen(new InetSocketAddress("127.0.0.1", 0), false);
-            try (Line client = new Line(at);
-                    Line other = new Line(at)) {
+            InetSocketAddress address = server.listen(new InetSocketAddress("127.0.0.1", 0), false);
+            try (RawConnection client = new RawConnection(address);
+                    RawConnection other = new RawConnection(address)) {
                 client.send(text);
-                Line.Message answer = client.read();
+                RawConnection.Message answer = client.read();
                 while (answer.status() == 200) {
                     answer = client.read();
                 }
                 assertEquals(answer.status(), status);
-                assertNull(client.head()); // the server has closed its sending direction at once
+                assertNull(client.readHead()); // the server has closed its sending direction at once
                 clock.now = clock.now.plusMillis(300);
                 for (int i = 0; i < 4; i++) {
                     client.send("x".repeat(64 * 1024));
@@ -332,17 +337,17 @@
                                     .read()
                                     .status(),
                             200); // the reactor has completed a pass
-                    assertNull(client.head());
+                    assertNull(client.readHead());
                 }
                 assertEquals(room.size(), 2);
-                await("a stop does not wait for the rejected connection", () -> !server.busy());
-                if (until == Until.ITS_TIME) {
+                await("a stop does not wait for the rejected connection", () -> !server.isBusy());
+                if (cause == CloseCause.TIMEOUT) {
                     clock.now = clock.now.plusSeconds(1);
-                } else if (until == Until.A_DRAIN) {
-                    server.drain(true);
-                } else if (until == Until.A_CROWD) {
-                    room.most(0);
-                } else if (until == Until.ITS_BYTES) {
+                } else if (cause == CloseCause.DRAIN) {
+                    server.setDraining(true);
+                } else if (cause == CloseCause.CROWDING) {
+                    room.setMaxBusy(0);
+                } else if (cause == CloseCause.BYTE_LIMIT) {
                     assertThrows(IOException.class, () -> client.send("x".repeat(64 << 20)));
                 }
                 await("closed", () -> room.size() == 1);
@@ -351,7 +356,7 @@
         }
     }
 
-    private static boolean isReset(Line client) {
+    private static boolean isReset(RawConnection client) {
         try {
             client.send("x");
             return false;
@@ -362,34 +367,35 @@
 
     /** A half request that times out behind an open request must not cost the open one its answer. */
     @Test(dataProvider = "halves")
-    public void halfARequestBehindAnOpenOneLeavesThatItsAnswer(String behind) throws Exception {
-        Stands clock = new Stands();
-        ClientRoom room = new ClientRoom(10, 1000);
-        AtomicReference<HttpReply> open = new AtomicReference<>();
+    public void aHalfRequestBehindAnOpenOneLeavesTheAnswerIntact(String behind) throws Exception {
+        ManualClock clock = new ManualClock();
+        ClientConnections room = new ClientConnections(10, 1000);
+        AtomicReference<HttpReply> openReply = new AtomicReference<>();
         try (HttpFrontServer server = new HttpFrontServer(
                 (call, reply) -> {
                     if (call.path().equals("/first")) {
-                        open.set(reply);
+                        openReply.set(reply);
                     } else {
-                        reply.whole(200, "text/plain", Map.of(), new byte[0]);
+                        reply.respond(200, "text/plain", Map.of(), new byte[0]);
                     }
                     return () -> {};
                 },
                 clock,
                 room,
                 (c, status) -> {})) {
-            InetSocketAddress at = server.listen(new InetSocketAddress("127.0.0.1", 0), false);
-            try (Line client = new Line(at);
-                    Line other = new Line(at)) {
+            InetSocketAddress address = server.listen(new InetSocketAddress("127.0.0.1", 0), false);
+            try (RawConnection client = new RawConnection(address);
+                    RawConnection other = new RawConnection(address)) {
                 client.send("GET /first HTTP/1.1\r\nHost: x\r\n\r\n" + behind);
-                await("the first request is handled", () -> open.get() != null);
-                turn(other); // the reactor starts the timeout of the half request after it has called the handler
+                await("the first request is handled", () -> openReply.get() != null);
+                awaitReactorPass(
+                        other); // the reactor starts the timeout of the half request after it has called the handler
                 clock.now = clock.now.plusSeconds(3);
                 client.send("x"); // makes the reactor check its timeouts
                 for (int i = 0; i < 3; i++) {
-                    turn(other);
+                    awaitReactorPass(other);
                 }
-                open.get().whole(200, "text/plain", Map.of(), new byte[0]);
+                openReply.get().respond(200, "text/plain", Map.of(), new byte[0]);
                 assertEquals(client.read().status(), 200);
                 assertTrue(client.awaitClosed());
             }
@@ -397,14 +403,14 @@
     }
 
     /** Awaits a pass of the single reactor thread: what it had begun before is done once it has answered this request. */
-    private static void turn(Line other) throws Exception {
+    private static void awaitReactorPass(RawConnection other) throws Exception {
         assertEquals(other.send("GET / HTTP/1.1\r\nHost: x\r\n\r\n").read().status(), 200);
     }
 
     @DataProvider
     public Object[][] halves() {
         return new Object[][] {
-            {"GET /second HTTP/1.1\r\nHo"}, {Site.post("x".repeat(99)).replace("x".repeat(50), "")}
+            {"GET /second HTTP/1.1\r\nHo"}, {Site.postRequest("x".repeat(99)).replace("x".repeat(50), "")}
         };
     }
 
@@ -415,28 +421,28 @@
             {"nonsense\r\n\r\n", 400},
             {get + "\r\n", 400},
             {get.replace("1.1", "2.0") + "Host: x\r\n\r\n", 505},
-            {POST + "Content-Length: 62914560\r\n\r\n{", 413},
-            {POST + "Transfer-Encoding: chunked\r\n\r\n-2\r\n{}", 400},
-            {POST + "Transfer-Encoding: chunked\r\n\r\n2\r\n{}\r\n0\r\nno trailer\r\n\r\n", 400},
+            {POST_START + "Content-Length: 62914560\r\n\r\n{", 413},
+            {POST_START + "Transfer-Encoding: chunked\r\n\r\n-2\r\n{}", 400},
+            {POST_START + "Transfer-Encoding: chunked\r\n\r\n2\r\n{}\r\n0\r\nno trailer\r\n\r\n", 400},
         };
     }
 
     /** Answers come in order: first the open request's, then the error for the malformed request behind it. */
     @Test(dataProvider = "unreadableBehind")
-    public void whatCantBeReadBehindAnOpenRequestLeavesThatItsAnswer(String behind, int status) throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
+    public void aMalformedRequestBehindAnOpenOneLeavesTheAnswerIntact(String behind, int status) throws Exception {
+        CountDownLatch unblock = new CountDownLatch(1);
         try (Site site = new Site(1, 1);
-                Line client = site.client()) {
-            site.writers.get(0).script = attempts((m, line) -> {
-                go.await();
-                Site.write(m, line);
+                RawConnection client = site.client()) {
+            site.writers.get(0).script = attempts((message, connection) -> {
+                unblock.await();
+                Site.answerAsWriter(message, connection);
             });
             client.send(request("send", 5000));
             await("written", () -> site.attempts(site.writers) == 1);
             client.send(behind);
             assertEquals(site.get("/healthz").status(), 200); // the reactor has completed a pass
             assertEquals(site.get("/healthz").status(), 200);
-            go.countDown();
+            unblock.countDown();
             assertEquals(client.read().text(), Site.EVENTS);
             assertEquals(client.read().status(), status);
             assertTrue(client.awaitClosed());
@@ -447,19 +453,20 @@
     /** Some clients end a body with an empty line that the Content-Length does not count. */
     @Test
     public void anEmptyLineBehindABodyIsNoRequest() throws Exception {
-        Stands clock = new Stands();
+        ManualClock clock = new ManualClock();
         try (HttpFrontServer server = new HttpFrontServer(
                 (call, reply) -> {
-                    reply.whole(200, "text/plain", Map.of(), new byte[0]);
+                    reply.respond(200, "text/plain", Map.of(), new byte[0]);
                     return () -> {};
                 },
                 clock,
-                new ClientRoom(10, 1000),
+                new ClientConnections(10, 1000),
                 (c, status) -> {})) {
-            InetSocketAddress at = server.listen(new InetSocketAddress("127.0.0.1", 0), false);
-            try (Line client = new Line(at)) {
+            InetSocketAddress address = server.listen(new InetSocketAddress("127.0.0.1", 0), false);
+            try (RawConnection client = new RawConnection(address)) {
                 for (int i = 0; i < 3; i++) {
-                    assertEquals(client.send(Site.post("{}") + "\r\n").read().status(), 200);
+                    assertEquals(
+                            client.send(Site.postRequest("{}") + "\r\n").read().status(), 200);
                     clock.now = clock.now.plusSeconds(3);
                 }
             }
@@ -468,37 +475,37 @@
 
     /** The request arrives while the reactor is busy with another, after which it checks timeouts before it reads input. */
     @Test
-    public void whoSpeaksAsItsTimeIsUpIsHeard() throws Exception {
-        Stands clock = new Stands();
-        ClientRoom room = new ClientRoom(10, 1000);
+    public void aRequestThatArrivesAtItsTimeoutIsServed() throws Exception {
+        ManualClock clock = new ManualClock();
+        ClientConnections room = new ClientConnections(10, 1000);
         CountDownLatch busy = new CountDownLatch(1);
-        CountDownLatch go = new CountDownLatch(1);
+        CountDownLatch unblock = new CountDownLatch(1);
         try (HttpFrontServer server = new HttpFrontServer(
                 (call, reply) -> {
                     if (call.path().equals("/holds")) {
                         busy.countDown();
                         try {
-                            go.await(); // the reactor does nothing else meanwhile
+                            unblock.await(); // the reactor does nothing else meanwhile
                         } catch (InterruptedException e) {
                             throw new AssertionError(e);
                         }
                     }
-                    reply.whole(200, "text/plain", Map.of(), new byte[0]);
+                    reply.respond(200, "text/plain", Map.of(), new byte[0]);
                     return () -> {};
                 },
                 clock,
                 room,
                 (c, status) -> {})) {
-            InetSocketAddress at = server.listen(new InetSocketAddress("127.0.0.1", 0), false);
-            try (Line holds = new Line(at);
-                    Line silent = new Line(at)) {
+            InetSocketAddress address = server.listen(new InetSocketAddress("127.0.0.1", 0), false);
+            try (RawConnection blocking = new RawConnection(address);
+                    RawConnection silent = new RawConnection(address)) {
                 await("both connections are accepted", () -> room.size() == 2);
-                holds.send("GET /holds HTTP/1.1\r\nHost: x\r\n\r\n");
+                blocking.send("GET /holds HTTP/1.1\r\nHost: x\r\n\r\n");
                 busy.await();
                 silent.send("GET / HTTP/1.1\r\nHost: x\r\n\r\n");
                 clock.now = clock.now.plusSeconds(3);
                 Thread.sleep(500); // the interval between two timeout checks of the reactor
-                go.countDown();
+                unblock.countDown();
                 assertEquals(silent.read().status(), 200);
             }
         }
@@ -506,16 +513,16 @@
 
     /** A fault in the handler is answered with 500, and other connections are not affected. */
     @Test
-    public void aFrontThatFailsIsAnAnswer() throws Exception {
+    public void aHandlerThatThrowsIsAnsweredWith500() throws Exception {
         try (HttpFrontServer server = new HttpFrontServer(
                 (call, reply) -> {
                     throw new IllegalStateException("a fault");
                 },
                 Clock.systemUTC(),
-                new ClientRoom(10, 1000),
+                new ClientConnections(10, 1000),
                 (c, status) -> {})) {
-            InetSocketAddress at = server.listen(new InetSocketAddress("127.0.0.1", 0), false);
-            try (Line client = new Line(at)) {
+            InetSocketAddress address = server.listen(new InetSocketAddress("127.0.0.1", 0), false);
+            try (RawConnection client = new RawConnection(address)) {
                 assertEquals(
                         client.send("GET / HTTP/1.1\r\nHost: x\r\n\r\n").read().status(), 500);
                 assertTrue(client.awaitClosed());
@@ -525,102 +532,103 @@
 
     /** Guards the memory against many large requests that wait at the same time. */
     @Test
-    public void bodiesThatWaitAreBounded() throws Exception {
-        ClientRoom room = new ClientRoom(10, 1000);
+    public void waitingBodiesAreBounded() throws Exception {
+        ClientConnections room = new ClientConnections(10, 1000);
         try (HttpFrontServer server = new HttpFrontServer(
                 (call, reply) -> {
                     if (call.body().length < 900) {
-                        reply.whole(200, "text/plain", Map.of(), new byte[0]);
+                        reply.respond(200, "text/plain", Map.of(), new byte[0]);
                     }
                     return () -> {};
                 },
                 Clock.systemUTC(),
                 room,
                 (c, status) -> {})) {
-            InetSocketAddress at = server.listen(new InetSocketAddress("127.0.0.1", 0), false);
-            try (Line second = new Line(at)) {
-                try (Line first = new Line(at)) {
-                    first.send(Site.post("x".repeat(900)));
-                    await("the first body is counted", () -> room.bytes() == 900);
-                    Line.Message refused =
-                            second.send(Site.post("x".repeat(200))).read();
+            InetSocketAddress address = server.listen(new InetSocketAddress("127.0.0.1", 0), false);
+            try (RawConnection second = new RawConnection(address)) {
+                try (RawConnection first = new RawConnection(address)) {
+                    first.send(Site.postRequest("x".repeat(900)));
+                    await("the first body is counted", () -> room.bodyBytes() == 900);
+                    RawConnection.Message refused =
+                            second.send(Site.postRequest("x".repeat(200))).read();
                     assertEquals(refused.status(), 503);
                     assertEquals(refused.header("Retry-After"), "1");
                     assertTrue(second.awaitClosed());
                 }
-                await("its bytes are freed", () -> room.bytes() == 0);
-                try (Line third = new Line(at)) {
-                    assertEquals(third.send(Site.post("x".repeat(200))).read().status(), 200);
+                await("its bytes are freed", () -> room.bodyBytes() == 0);
+                try (RawConnection third = new RawConnection(address)) {
+                    assertEquals(
+                            third.send(Site.postRequest("x".repeat(200))).read().status(), 200);
                 }
             }
-            await("all connections have left", () -> room.size() == 0 && room.bytes() == 0);
+            await("all connections have left", () -> room.size() == 0 && room.bodyBytes() == 0);
         }
     }
 
     /** HttpCore reports no end for a connection that was reset. Guards against counting such connections as open forever. */
     @Test
     public void resetClientsTakeNoRoom() throws Exception {
-        ClientRoom room = new ClientRoom(500, 1 << 20);
+        ClientConnections room = new ClientConnections(500, 1 << 20);
         try (HttpFrontServer server =
                 new HttpFrontServer((call, reply) -> () -> {}, Clock.systemUTC(), room, (c, status) -> {})) {
-            InetSocketAddress at = server.listen(new InetSocketAddress("127.0.0.1", 0), false);
+            InetSocketAddress address = server.listen(new InetSocketAddress("127.0.0.1", 0), false);
             for (int i = 0; i < 1000; i++) {
-                Line client = new Line(at);
+                RawConnection client = new RawConnection(address);
                 client.send(i % 2 == 0 ? "GET / HTTP/1.1\r\nHost: x\r\n\r\n" : "GET / HTT");
                 client.reset();
             }
-            await("all have left", () -> room.size() == 0 && !server.busy());
+            await("all have left", () -> room.size() == 0 && !server.isBusy());
         }
     }
 
     /** Requests are served among many connections that ask once and stay open, and others that never finish a request. */
     @Test
-    public void aCrowdLeavesRoomForTrueRequests() throws Exception {
+    public void aCrowdLeavesRoomForRequests() throws Exception {
         try (Site site = new Site(1, 1, new copperbeam.program.Config.Limits(192, 256))) {
-            List<Line> crowd = new ArrayList<>();
+            List<RawConnection> crowd = new ArrayList<>();
             for (int i = 0; i < 90; i++) {
-                Line stays = site.client();
-                crowd.add(stays);
-                stays.send(
+                RawConnection crowdClient = site.client();
+                crowd.add(crowdClient);
+                crowdClient.send(
                         i % 3 == 0
                                 ? "POST /v1/chat/completions HTTP/1.1\r\nHost"
                                 : "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
                 if (i % 3 != 0) {
-                    stays.read();
+                    crowdClient.read();
                 }
                 if (i % 3 == 2) {
-                    try (Line client = site.client()) {
+                    try (RawConnection client = site.client()) {
                         assertEquals(client.send(request("ask", 4000)).read().status(), 200, "after " + i);
                     }
                 }
             }
-            for (Line line : crowd) {
-                line.close();
+            for (RawConnection connection : crowd) {
+                connection.close();
             }
         }
     }
 
     /** Clients that stay connected or send nothing must not keep others out, at either front. */
     @Test
-    public void thoseWhoSayNothingMakeRoomForOthers() throws Exception {
+    public void silentConnectionsMakeRoomForOthers() throws Exception {
         try (Site site = new Site(1, 1, new Config.Limits(64, 256))) {
-            List<Line> silent = new ArrayList<>();
+            List<RawConnection> silent = new ArrayList<>();
             for (int i = 0; i < 200; i++) {
                 silent.add(i % 2 == 0 ? site.client() : site.chatClient());
             }
             await("served", () -> {
-                try (Line client = site.client();
-                        Line other = site.chatClient()) {
+                try (RawConnection client = site.client();
+                        RawConnection other = site.chatClient()) {
                     return client.send(request("ask", 4000)).read().status() == 200
-                            && other.send(chat("m-ask", true, "")).read().status() == 200;
+                            && other.send(chatRequest("m-ask", true, "")).read().status() == 200;
                 } catch (IOException | NullPointerException e) {
                     return false; // no room yet
                 } catch (Exception e) {
                     throw new AssertionError(e);
                 }
             });
-            for (Line line : silent) {
-                assertTrue(line.awaitClosed());
+            for (RawConnection connection : silent) {
+                assertTrue(connection.awaitClosed());
             }
         }
     }
--- a/src/test/java/copperbeam/sockets/BadDiscoveryTest.java
+++ b/src/test/java/copperbeam/sockets/BadDiscoveryTest.java
@@ -35,30 +35,30 @@
 
 /** A server-list watch whose discovery service sends invalid answers, or accepts no connections for a while. */
 public class BadDiscoveryTest {
-    private static final String A =
+    private static final String SERVER_A =
             "{\"id\":\"a\",\"addr\":\"127.0.0.1:1\",\"zone\":\"z\",\"kind\":\"k\",\"state\":\"%s\"}";
-    private static final String B =
+    private static final String SERVER_B =
             "{\"id\":\"b\",\"addr\":\"127.0.0.1:2\",\"zone\":\"z\",\"kind\":\"k\",\"state\":\"active\"}";
 
     /**
      * Longest time in ms from when discovery answers correctly until the watch applies its list. A pushed list has one
      * second, and one more for a busy machine.
      */
-    private static long most(boolean pushed) {
+    private static long maxDelayMs(boolean pushed) {
         return pushed ? 2000 : 5000;
     }
 
     /** A running watch with the entries that it reported and the messages that it logged. */
-    private static final class Watched implements AutoCloseable {
-        final ScheduledExecutorService turns = Executors.newSingleThreadScheduledExecutor();
+    private static final class WatchFixture implements AutoCloseable {
+        final ScheduledExecutorService scheduler = Executors.newSingleThreadScheduledExecutor();
         final ClientReactor reactor = new ClientReactor();
-        final List<Entry> heard = new CopyOnWriteArrayList<>();
-        final List<String> log = new CopyOnWriteArrayList<>();
+        final List<Entry> reportedEntries = new CopyOnWriteArrayList<>();
+        final List<String> logMessages = new CopyOnWriteArrayList<>();
         final Logger logger = Logger.getLogger(DiscoveryWatch.class.getName());
         final Handler handler = new Handler() {
             @Override
             public void publish(LogRecord entry) {
-                log.add(entry.getMessage());
+                logMessages.add(entry.getMessage());
             }
 
             @Override
@@ -69,34 +69,34 @@
         };
         final DiscoveryWatch watch;
 
-        Watched(InetSocketAddress at, boolean pushed) {
+        WatchFixture(InetSocketAddress address, boolean pushed) {
             logger.addHandler(handler);
-            Duration first = Duration.ofMillis(pushed ? 100 : 500);
+            Duration initialDelay = Duration.ofMillis(pushed ? 100 : 500);
             watch = new DiscoveryWatch(
-                    turns,
+                    scheduler,
                     new PlainHttpClient(reactor),
                     Clock.systemUTC(),
-                    at,
+                    address,
                     null,
                     false,
-                    new Backoff(first, pushed ? first : Duration.ofSeconds(10), new SplittableRandom(1)));
-            watch.start(change -> heard.addAll(change.entries()));
+                    new Backoff(initialDelay, pushed ? initialDelay : Duration.ofSeconds(10), new SplittableRandom(1)));
+            watch.start(change -> reportedEntries.addAll(change.entries()));
         }
 
-        boolean drains() {
-            return heard.stream().anyMatch(e -> e.member().state() == ServerState.DRAINING);
+        boolean sawDrain() {
+            return reportedEntries.stream().anyMatch(e -> e.member().state() == ServerState.DRAINING);
         }
 
         @Override
         public void close() throws IOException {
             watch.stop();
             logger.removeHandler(handler);
-            turns.shutdownNow();
+            scheduler.shutdownNow();
             reactor.close();
         }
     }
 
-    private static String list(int version, boolean full, String entries) {
+    private static String listJson(int version, boolean full, String entries) {
         return "{\"version\":" + version + ",\"full\":" + full + ",\"servers\":[" + entries + "]}";
     }
 
@@ -110,60 +110,63 @@
      * against a body that uses up the memory, and against a backoff that grows too long to learn of a drain in time.
      */
     @Test(dataProvider = "modes")
-    public void spoiltAnswersChangeNothingAndDelayNoDrain(boolean pushed) throws Exception {
-        String drain = String.format(A, "leaving");
-        List<StandIn.Script> spoilt = List.of(
-                (m, line) -> {
-                    line.send("HTTP/1.1 200 OK\r\nContent-Length: 1000\r\n\r\n"
-                            + list(8, false, drain).substring(0, 30));
-                    while (!line.ended) {
-                        line.send(" ");
+    public void invalidAnswersChangeNothingAndDelayNoDrain(boolean pushed) throws Exception {
+        String drainEntry = String.format(SERVER_A, "leaving");
+        List<StandIn.Script> invalidAnswers = List.of(
+                (request, connection) -> {
+                    connection.send("HTTP/1.1 200 OK\r\nContent-Length: 1000\r\n\r\n"
+                            + listJson(8, false, drainEntry).substring(0, 30));
+                    while (!connection.closedByStandIn) {
+                        connection.send(" ");
                         Thread.sleep(300);
                     }
                 },
-                (m, line) -> line.answer(200, list(8, false, drain).substring(0, 60)),
-                (m, line) -> line.answer(200, list(8, true, "") + "x"),
-                (m, line) -> line.answer(200, "{\"full\":true,\"servers\":[]}"),
-                (m, line) -> line.answer(200, list(8, true, B + ",{\"id\":\"c\"}")),
-                (m, line) -> line.answer(200, list(8, false, B + ",{\"id\":7,\"addr\":\"127.0.0.1:3\"}")),
-                (m, line) -> line.answer(503, list(8, true, B)),
-                (m, line) -> line.send("HTTP/9 what\r\n\r\n"),
-                (m, line) -> {
-                    line.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-                            .chunk(list(8, true, B));
-                    while (!line.ended) {
-                        line.chunk(" ".repeat(10_000));
+                (request, connection) ->
+                        connection.respond(200, listJson(8, false, drainEntry).substring(0, 60)),
+                (request, connection) -> connection.respond(200, listJson(8, true, "") + "x"),
+                (request, connection) -> connection.respond(200, "{\"full\":true,\"servers\":[]}"),
+                (request, connection) -> connection.respond(200, listJson(8, true, SERVER_B + ",{\"id\":\"c\"}")),
+                (request, connection) ->
+                        connection.respond(200, listJson(8, false, SERVER_B + ",{\"id\":7,\"addr\":\"127.0.0.1:3\"}")),
+                (request, connection) -> connection.respond(503, listJson(8, true, SERVER_B)),
+                (request, connection) -> connection.send("HTTP/9 what\r\n\r\n"),
+                (request, connection) -> {
+                    connection
+                            .send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+                            .sendChunk(listJson(8, true, SERVER_B));
+                    while (!connection.closedByStandIn) {
+                        connection.sendChunk(" ".repeat(10_000));
                     }
                 });
         try (StandIn agent = new StandIn(null)) {
-            List<Long> last = new CopyOnWriteArrayList<>();
-            agent.script = (m, line) -> {
-                int call = agent.seen.size() - 2;
-                if (call < 0) {
-                    line.answer(200, list(7, true, String.format(A, "active")));
-                } else if (call < spoilt.size()) {
-                    last.add(System.nanoTime());
-                    spoilt.get(call).run(m, line);
+            List<Long> invalidAnswerTimesNs = new CopyOnWriteArrayList<>();
+            agent.script = (request, connection) -> {
+                int answerIndex = agent.requests.size() - 2;
+                if (answerIndex < 0) {
+                    connection.respond(200, listJson(7, true, String.format(SERVER_A, "active")));
+                } else if (answerIndex < invalidAnswers.size()) {
+                    invalidAnswerTimesNs.add(System.nanoTime());
+                    invalidAnswers.get(answerIndex).run(request, connection);
                 } else {
-                    boolean whole = !m.path().contains("from=");
-                    line.answer(200, list(9, whole, m.path().contains("from=9") ? "" : drain));
+                    boolean fullList = !request.path().contains("from=");
+                    connection.respond(200, listJson(9, fullList, request.path().contains("from=9") ? "" : drainEntry));
                     Thread.sleep(200);
                 }
             };
-            try (Watched w = new Watched(agent.address(), pushed)) {
-                long until = System.nanoTime() + 40_000_000_000L;
-                while (!w.drains()) {
-                    assertTrue(System.nanoTime() < until, "no drain within 40 s; logged: " + w.log);
+            try (WatchFixture fixture = new WatchFixture(agent.address(), pushed)) {
+                long deadlineNs = System.nanoTime() + 40_000_000_000L;
+                while (!fixture.sawDrain()) {
+                    assertTrue(System.nanoTime() < deadlineNs, "no drain within 40 s; logged: " + fixture.logMessages);
                     Thread.sleep(5);
                 }
-                long ms = (System.nanoTime() - last.get(spoilt.size() - 1)) / 1_000_000;
-                assertTrue(ms < most(pushed), ms + " ms after the last invalid answer");
+                long elapsedMs = (System.nanoTime() - invalidAnswerTimesNs.get(invalidAnswers.size() - 1)) / 1_000_000;
+                assertTrue(elapsedMs < maxDelayMs(pushed), elapsedMs + " ms after the last invalid answer");
                 assertEquals(
-                        w.heard.stream()
+                        fixture.reportedEntries.stream()
                                 .map(e -> e.member().server() + e.member().state())
                                 .toList(),
                         List.of("aREADY", "aDRAINING"));
-                for (String why : List.of(
+                for (String reason : List.of(
                         "no JSON",
                         "no version",
                         "server c: no addr",
@@ -171,9 +174,11 @@
                         "status 503",
                         "a body above 262144 bytes",
                         "no whole answer in time")) {
-                    assertTrue(w.log.stream().anyMatch(l -> l.contains(why)), why + " in " + w.log);
+                    assertTrue(
+                            fixture.logMessages.stream().anyMatch(l -> l.contains(reason)),
+                            reason + " in " + fixture.logMessages);
                 }
-                assertTrue(w.log.size() <= spoilt.size(), "" + w.log);
+                assertTrue(fixture.logMessages.size() <= invalidAnswers.size(), "" + fixture.logMessages);
             }
         }
     }
@@ -195,65 +200,70 @@
      */
     @Test(dataProvider = "statuses")
     public void anotherStatusIsAFailedCall(int status, boolean pushed) throws Exception {
-        String body = list(8, true, B);
-        List<Long> calls = new CopyOnWriteArrayList<>();
+        String body = listJson(8, true, SERVER_B);
+        List<Long> callTimesNs = new CopyOnWriteArrayList<>();
         try (StandIn agent = new StandIn(null);
-                StandIn elsewhere = new StandIn((m, line) -> line.answer(200, body))) {
-            agent.script = (m, line) -> {
-                calls.add(System.nanoTime());
-                if (calls.size() == 1) {
-                    line.answer(200, list(7, true, String.format(A, "active")));
-                } else if (calls.size() == 2) {
-                    boolean none = status < 200 || status == 204 || status == 304;
-                    line.send("HTTP/1.1 " + status + " x\r\nLocation: http://" + elsewhere.host() + "/v1/servers\r\n"
-                            + (none ? "\r\n" : "Content-Length: " + body.length() + "\r\n\r\n" + body));
-                    line.read();
+                StandIn redirectTarget = new StandIn((request, connection) -> connection.respond(200, body))) {
+            agent.script = (request, connection) -> {
+                callTimesNs.add(System.nanoTime());
+                if (callTimesNs.size() == 1) {
+                    connection.respond(200, listJson(7, true, String.format(SERVER_A, "active")));
+                } else if (callTimesNs.size() == 2) {
+                    boolean hasNoBody = status < 200 || status == 204 || status == 304;
+                    connection.send("HTTP/1.1 " + status + " x\r\nLocation: http://" + redirectTarget.hostAndPort()
+                            + "/v1/servers\r\n"
+                            + (hasNoBody ? "\r\n" : "Content-Length: " + body.length() + "\r\n\r\n" + body));
+                    connection.read();
                 } else {
-                    line.answer(
+                    connection.respond(
                             200,
-                            list(
+                            listJson(
                                     9,
-                                    !m.path().contains("from="),
-                                    m.path().contains("from=9") ? "" : String.format(A, "leaving")));
+                                    !request.path().contains("from="),
+                                    request.path().contains("from=9") ? "" : String.format(SERVER_A, "leaving")));
                     Thread.sleep(200);
                 }
             };
-            try (Watched w = new Watched(agent.address(), pushed)) {
-                await("the drain", w::drains);
-                long ms = (calls.get(2) - calls.get(1)) / 1_000_000;
-                assertTrue(ms < 6000, ms + " ms");
-                assertTrue(w.heard.stream().allMatch(e -> e.member().server().equals("a")), "" + w.heard);
-                assertEquals(elsewhere.seen.size(), 0);
+            try (WatchFixture fixture = new WatchFixture(agent.address(), pushed)) {
+                await("the drain", fixture::sawDrain);
+                long elapsedMs = (callTimesNs.get(2) - callTimesNs.get(1)) / 1_000_000;
+                assertTrue(elapsedMs < 6000, elapsedMs + " ms");
+                assertTrue(
+                        fixture.reportedEntries.stream()
+                                .allMatch(e -> e.member().server().equals("a")),
+                        "" + fixture.reportedEntries);
+                assertEquals(redirectTarget.requests.size(), 0);
                 String reason =
                         status == 101 ? "in place of an answer" : status < 200 ? "no whole answer" : "status " + status;
-                await("the reason", () -> w.log.stream().anyMatch(l -> l.contains(reason)));
+                await("the reason", () -> fixture.logMessages.stream().anyMatch(l -> l.contains(reason)));
             }
         }
     }
 
     /** Faults of a new address until it becomes healthy, by their name. */
-    private static final Map<String, StandIn.Script> TROUBLES = Map.of(
+    private static final Map<String, StandIn.Script> FAULTS = Map.of(
             "sends garbage",
-            (m, line) -> line.send("HTTP/9 what\r\n\r\n"),
+            (request, connection) -> connection.send("HTTP/9 what\r\n\r\n"),
             "closes",
-            (m, line) -> line.close(),
+            (request, connection) -> connection.close(),
             "is silent",
-            (m, line) -> line.read(),
+            (request, connection) -> connection.read(),
             "has no such path",
-            (m, line) -> line.answer(404, "no"),
+            (request, connection) -> connection.respond(404, "no"),
             "sends half an answer",
-            (m, line) -> line.send("HTTP/1.1 200 OK\r\nContent-Length: 1000\r\n\r\n{\"version\":9")
+            (request, connection) -> connection
+                    .send("HTTP/1.1 200 OK\r\nContent-Length: 1000\r\n\r\n{\"version\":9")
                     .read(),
             "lists an invalid server",
-            (m, line) -> line.answer(200, list(99, true, B + ",{\"id\":\"c\"}")),
+            (request, connection) -> connection.respond(200, listJson(99, true, SERVER_B + ",{\"id\":\"c\"}")),
             "sends only changes",
-            (m, line) -> line.answer(200, list(99, false, B)),
+            (request, connection) -> connection.respond(200, listJson(99, false, SERVER_B)),
             "lists no servers",
-            (m, line) -> line.answer(200, list(1, true, "")));
+            (request, connection) -> connection.respond(200, listJson(1, true, "")));
 
     @DataProvider
     public Object[][] moves() {
-        return TROUBLES.keySet().stream()
+        return FAULTS.keySet().stream()
                 .flatMap(t -> Stream.of(new Object[] {t, true}, new Object[] {t, false}))
                 .toArray(Object[][]::new);
     }
@@ -263,55 +273,70 @@
      * the new one's list is applied as soon as it is valid.
      */
     @Test(dataProvider = "moves")
-    public void anAddressInTroubleChangesNothing(String trouble, boolean pushed) throws Exception {
-        AtomicBoolean drains = new AtomicBoolean();
-        AtomicBoolean good = new AtomicBoolean();
-        String b = B.replace("active", "leaving");
-        StandIn.Script first = (m, line) -> {
-            boolean watch = m.path().contains("from=");
-            for (int i = 0; i < 200 && watch && !(drains.get() && m.path().contains("from=7&")); i++) {
+    public void aFaultyAddressChangesNothing(String fault, boolean pushed) throws Exception {
+        AtomicBoolean oldListsDrain = new AtomicBoolean();
+        AtomicBoolean newIsHealthy = new AtomicBoolean();
+        String drainingServerB = SERVER_B.replace("active", "leaving");
+        StandIn.Script oldScript = (request, connection) -> {
+            boolean isWatch = request.path().contains("from=");
+            for (int i = 0;
+                    i < 200
+                            && isWatch
+                            && !(oldListsDrain.get() && request.path().contains("from=7&"));
+                    i++) {
                 Thread.sleep(5);
             }
-            line.answer(
+            connection.respond(
                     200,
-                    drains.get()
-                            ? list(8, !watch, m.path().contains("from=8") ? "" : String.format(A, "leaving"))
-                            : list(7, !watch, watch ? "" : String.format(A, "active") + "," + B));
+                    oldListsDrain.get()
+                            ? listJson(
+                                    8,
+                                    !isWatch,
+                                    request.path().contains("from=8") ? "" : String.format(SERVER_A, "leaving"))
+                            : listJson(7, !isWatch, isWatch ? "" : String.format(SERVER_A, "active") + "," + SERVER_B));
         };
-        try (StandIn old = new StandIn(first);
-                StandIn next = new StandIn(null)) {
-            next.script = (m, line) -> {
-                if (good.get()) {
-                    boolean watch = m.path().contains("from=");
-                    Thread.sleep(watch ? 200 : 0);
-                    line.answer(200, list(2, !watch, watch ? "" : String.format(A, "leaving") + "," + b));
+        try (StandIn oldAgent = new StandIn(oldScript);
+                StandIn newAgent = new StandIn(null)) {
+            newAgent.script = (request, connection) -> {
+                if (newIsHealthy.get()) {
+                    boolean isWatch = request.path().contains("from=");
+                    Thread.sleep(isWatch ? 200 : 0);
+                    connection.respond(
+                            200,
+                            listJson(
+                                    2,
+                                    !isWatch,
+                                    isWatch ? "" : String.format(SERVER_A, "leaving") + "," + drainingServerB));
                 } else {
-                    TROUBLES.get(trouble).run(m, line);
+                    FAULTS.get(fault).run(request, connection);
                 }
             };
-            try (Watched w = new Watched(old.address(), pushed)) {
-                await("both servers are listed", () -> w.heard.size() == 2);
-                w.watch.move(next.address());
-                w.watch.move(old.address());
-                w.watch.move(next.address());
-                await("the new address was called twice", () -> next.seen.size() >= 2);
-                drains.set(true);
-                await("the old address's drain", w::drains);
+            try (WatchFixture fixture = new WatchFixture(oldAgent.address(), pushed)) {
+                await("both servers are listed", () -> fixture.reportedEntries.size() == 2);
+                fixture.watch.moveTo(newAgent.address());
+                fixture.watch.moveTo(oldAgent.address());
+                fixture.watch.moveTo(newAgent.address());
+                await("the new address was called twice", () -> newAgent.requests.size() >= 2);
+                oldListsDrain.set(true);
+                await("the old address's drain", fixture::sawDrain);
                 assertTrue(
-                        w.heard.stream()
+                        fixture.reportedEntries.stream()
                                 .allMatch(e -> e.member().server().equals("a")
                                         || e.member().state() == ServerState.READY),
-                        "" + w.heard);
-                good.set(true);
-                long from = System.nanoTime();
+                        "" + fixture.reportedEntries);
+                newIsHealthy.set(true);
+                long startNs = System.nanoTime();
                 await(
                         "the drain from the new address",
-                        () -> w.heard.stream()
+                        () -> fixture.reportedEntries.stream()
                                 .anyMatch(e -> e.member().server().equals("b")
                                         && e.member().state() == ServerState.DRAINING));
-                long ms = (System.nanoTime() - from) / 1_000_000;
-                assertTrue(ms < most(pushed), ms + " ms");
-                assertTrue(w.heard.stream().noneMatch(e -> e.member().server().equals("c")), "" + w.heard);
+                long elapsedMs = (System.nanoTime() - startNs) / 1_000_000;
+                assertTrue(elapsedMs < maxDelayMs(pushed), elapsedMs + " ms");
+                assertTrue(
+                        fixture.reportedEntries.stream()
+                                .noneMatch(e -> e.member().server().equals("c")),
+                        "" + fixture.reportedEntries);
             }
         }
     }
@@ -321,30 +346,32 @@
      * must follow within 200 ms.
      */
     @Test(dataProvider = "modes")
-    public void anAgentThatAnswersAtOnceIsAskedAtAPace(boolean pushed) throws Exception {
-        List<Long> gaps = new CopyOnWriteArrayList<>();
-        AtomicLong answered = new AtomicLong();
-        AtomicBoolean drains = new AtomicBoolean();
-        try (StandIn agent = new StandIn((m, line) -> {
-            if (answered.get() > 0) {
-                gaps.add((System.nanoTime() - answered.get()) / 1_000_000);
+    public void callsToAnAgentThatAnswersAtOnceAreRateLimited(boolean pushed) throws Exception {
+        List<Long> gapsMs = new CopyOnWriteArrayList<>();
+        AtomicLong lastAnswerNs = new AtomicLong();
+        AtomicBoolean listsDrain = new AtomicBoolean();
+        try (StandIn agent = new StandIn((request, connection) -> {
+            if (lastAnswerNs.get() > 0) {
+                gapsMs.add((System.nanoTime() - lastAnswerNs.get()) / 1_000_000);
             }
-            boolean watch = m.path().contains("from=");
-            line.answer(
+            boolean isWatch = request.path().contains("from=");
+            connection.respond(
                     200,
-                    drains.get()
-                            ? list(8, !watch, String.format(A, "leaving"))
-                            : list(7, !watch, watch ? "" : String.format(A, "active")));
-            answered.set(System.nanoTime());
+                    listsDrain.get()
+                            ? listJson(8, !isWatch, String.format(SERVER_A, "leaving"))
+                            : listJson(7, !isWatch, isWatch ? "" : String.format(SERVER_A, "active")));
+            lastAnswerNs.set(System.nanoTime());
         })) {
-            long from = System.nanoTime();
-            try (Watched w = new Watched(agent.address(), pushed)) {
-                await("some calls", () -> gaps.size() >= 10);
-                long ms = (System.nanoTime() - from) / 1_000_000;
-                assertTrue(gaps.size() <= ms / 100 + 2, gaps.size() + " calls in " + ms + " ms");
-                assertTrue(gaps.stream().filter(g -> g < 200).count() >= gaps.size() / 2, "watches begin anew: " + gaps);
-                drains.set(true);
-                await("the drain", w::drains);
+            long startNs = System.nanoTime();
+            try (WatchFixture fixture = new WatchFixture(agent.address(), pushed)) {
+                await("some calls", () -> gapsMs.size() >= 10);
+                long elapsedMs = (System.nanoTime() - startNs) / 1_000_000;
+                assertTrue(gapsMs.size() <= elapsedMs / 100 + 2, gapsMs.size() + " calls in " + elapsedMs + " ms");
+                assertTrue(
+                        gapsMs.stream().filter(g -> g < 200).count() >= gapsMs.size() / 2,
+                        "watches begin anew: " + gapsMs);
+                listsDrain.set(true);
+                await("the drain", fixture::sawDrain);
             }
         }
     }
@@ -354,67 +381,74 @@
      * accepts nothing is full.
      */
     @Test(dataProvider = "modes")
-    public void connectionsThatDoNotComeUpDelayNoDrain(boolean pushed) throws Exception {
+    public void connectsThatTimeOutDelayNoDrain(boolean pushed) throws Exception {
         InetAddress here = InetAddress.getByName("127.0.0.1");
-        List<Socket> full = new ArrayList<>();
-        try (ServerSocket closed = new ServerSocket(0, 8, here);
-                Watched w = hung(closed, full, pushed)) {
-            await("the failed connect is logged", () -> w.log.stream().anyMatch(l -> l.contains("no connection")));
-            for (Socket s : full) {
-                closed.accept().close();
+        List<Socket> queuedSockets = new ArrayList<>();
+        try (ServerSocket listener = new ServerSocket(0, 8, here);
+                WatchFixture fixture = watchFullListener(listener, queuedSockets, pushed)) {
+            await(
+                    "the failed connect is logged",
+                    () -> fixture.logMessages.stream().anyMatch(l -> l.contains("no connection")));
+            for (Socket socket : queuedSockets) {
+                listener.accept().close();
             }
-            long from = System.nanoTime();
-            Thread accepts = new Thread(() -> {
+            long startNs = System.nanoTime();
+            Thread acceptThread = new Thread(() -> {
                 try {
                     while (true) {
-                        Line line = new Line(closed.accept());
-                        Thread one = new Thread(() -> {
-                            try (line) {
-                                for (Line.Message m = line.read(); m != null; m = line.read()) {
-                                    line.answer(
+                        RawConnection connection = new RawConnection(listener.accept());
+                        Thread connectionThread = new Thread(() -> {
+                            try (connection) {
+                                for (RawConnection.Message request = connection.read();
+                                        request != null;
+                                        request = connection.read()) {
+                                    connection.respond(
                                             200,
-                                            list(
+                                            listJson(
                                                     9,
-                                                    !m.path().contains("from="),
-                                                    m.path().contains("from=9") ? "" : String.format(A, "leaving")));
+                                                    !request.path().contains("from="),
+                                                    request.path().contains("from=9")
+                                                            ? ""
+                                                            : String.format(SERVER_A, "leaving")));
                                     Thread.sleep(200);
                                 }
                             } catch (Exception e) {
                                 // the client closed the connection
                             }
                         });
-                        one.setDaemon(true);
-                        one.start();
+                        connectionThread.setDaemon(true);
+                        connectionThread.start();
                     }
                 } catch (java.io.IOException e) {
                     // the listener was closed
                 }
             });
-            accepts.setDaemon(true);
-            accepts.start();
-            await("the drain", w::drains);
-            long ms = (System.nanoTime() - from) / 1_000_000;
-            assertTrue(ms < most(pushed), ms + " ms");
+            acceptThread.setDaemon(true);
+            acceptThread.start();
+            await("the drain", fixture::sawDrain);
+            long elapsedMs = (System.nanoTime() - startNs) / 1_000_000;
+            assertTrue(elapsedMs < maxDelayMs(pushed), elapsedMs + " ms");
         } finally {
-            for (Socket s : full) {
-                s.close();
+            for (Socket socket : queuedSockets) {
+                socket.close();
             }
         }
     }
 
-    private static Watched hung(ServerSocket closed, List<Socket> full, boolean pushed) throws Exception {
-        InetSocketAddress at = (InetSocketAddress) closed.getLocalSocketAddress();
-        boolean hangs = false;
-        while (!hangs) {
-            Socket next = new Socket();
+    private static WatchFixture watchFullListener(ServerSocket listener, List<Socket> queuedSockets, boolean pushed)
+            throws Exception {
+        InetSocketAddress address = (InetSocketAddress) listener.getLocalSocketAddress();
+        boolean queueIsFull = false;
+        while (!queueIsFull) {
+            Socket socket = new Socket();
             try {
-                next.connect(at, 300);
-                full.add(next);
+                socket.connect(address, 300);
+                queuedSockets.add(socket);
             } catch (java.net.SocketTimeoutException e) {
-                next.close();
-                hangs = true;
+                socket.close();
+                queueIsFull = true;
             }
         }
-        return new Watched(at, pushed);
+        return new WatchFixture(address, pushed);
     }
 }
--- a/src/test/java/copperbeam/sockets/Conductor.java
+++ b/src/test/java/copperbeam/sockets/Conductor.java
@@ -24,37 +24,39 @@
 final class Conductor implements AutoCloseable {
     private static final Logger LOG = Logger.getLogger(Conductor.class.getName());
     static final String NAME = "n0";
-    private static final int TICKS_PER_S = 100; // unit of the CPU times in /proc/PID/stat on Linux
-    static final int START_MS = 30_000; // the platform's limit for a start; on a busy core a process gets a tenth of the CPU
+    private static final int CLOCK_TICKS_PER_S = 100; // unit of the CPU times in /proc/PID/stat on Linux
+    static final int START_TIMEOUT_MS =
+            30_000; // the platform's limit for a start; on a busy core a process gets a tenth of the CPU
 
     final Path folder; // also holds the state file that the processes of this conductor share
-    final Path log;
+    final Path logFile;
     final InetSocketAddress address;
-    final InetSocketAddress door; // null: no admin server
+    final InetSocketAddress adminAddress; // null: no admin server
     final Process process;
-    private final BinaryOperator<String> file; // config text for a listen address and a discovery address
+    private final BinaryOperator<String> configText; // config text for a listen address and a discovery address
 
     Conductor(StandIn discovery, int sockets, int memoryMb) throws IOException {
         this(discovery, sockets, memoryMb, List.of());
     }
 
     /** {@code extraArguments}: JVM options (those that begin with -X) and arguments of {@code serve}. */
-    Conductor(StandIn discovery, int sockets, int memoryMb, List<String> more) throws IOException {
-        this(discovery, sockets, memoryMb, more, ":");
+    Conductor(StandIn discovery, int sockets, int memoryMb, List<String> extraArguments) throws IOException {
+        this(discovery, sockets, memoryMb, extraArguments, ":");
     }
 
     /** {@code shellPrelude}: a command that the shell runs before it replaces itself with the conductor (exec). */
-    Conductor(StandIn discovery, int sockets, int memoryMb, List<String> more, String shell) throws IOException {
+    Conductor(StandIn discovery, int sockets, int memoryMb, List<String> extraArguments, String shellPrelude)
+            throws IOException {
         this(
                 discovery,
                 sockets,
                 memoryMb,
-                more,
-                shell,
+                extraArguments,
+                shellPrelude,
                 Files.createTempDirectory("conductor"),
                 freeAddress(),
                 null,
-                fileOf(sockets, memoryMb, s -> s));
+                configTemplate(sockets, memoryMb, s -> s));
     }
 
     /** {@code settings}: turns the default settings text into the one to use. */
@@ -68,88 +70,90 @@
                 Files.createTempDirectory("conductor"),
                 freeAddress(),
                 null,
-                fileOf(1024, 192, settings));
+                configTemplate(1024, 192, settings));
     }
 
     /** The first process of a conductor, with an admin address. */
-    Conductor(StandIn discovery, Path folder, String... more) throws IOException {
+    Conductor(StandIn discovery, Path folder, String... extraArguments) throws IOException {
         this(
                 discovery,
                 1024,
                 192,
-                List.of(more),
+                List.of(extraArguments),
                 ":",
                 folder,
                 freeAddress(),
                 freeAddress(),
-                fileOf(1024, 192, Conductor::patient));
+                configTemplate(1024, 192, Conductor::withLongPromises));
     }
 
     /** A further process of the same conductor, with an admin address of its own. */
-    Conductor(StandIn discovery, Conductor earlier, String... more) throws IOException {
+    Conductor(StandIn discovery, Conductor earlier, String... extraArguments) throws IOException {
         this(
                 discovery,
                 1024,
                 192,
-                List.of(more),
+                List.of(extraArguments),
                 ":",
                 earlier.folder,
                 earlier.address,
                 freeAddress(),
-                fileOf(1024, 192, Conductor::patient));
+                configTemplate(1024, 192, Conductor::withLongPromises));
     }
 
     /** With an admin address; {@code configText} makes the config text from the listen address and the discovery address. */
-    Conductor(StandIn discovery, BinaryOperator<String> file, List<String> more) throws IOException {
+    Conductor(StandIn discovery, BinaryOperator<String> configText, List<String> extraArguments) throws IOException {
         this(
                 discovery,
                 1024,
                 192,
-                more,
+                extraArguments,
                 ":",
                 Files.createTempDirectory("conductor"),
                 freeAddress(),
                 freeAddress(),
-                file);
+                configText);
     }
 
     private Conductor(
             StandIn discovery,
             int sockets,
             int memoryMb,
-            List<String> more,
-            String shell,
+            List<String> extraArguments,
+            String shellPrelude,
             Path folder,
             InetSocketAddress address,
-            InetSocketAddress door,
-            BinaryOperator<String> file)
+            InetSocketAddress adminAddress,
+            BinaryOperator<String> configText)
             throws IOException {
-        this.file = file;
+        this.configText = configText;
         this.folder = folder;
         this.address = address;
-        this.door = door;
-        log = folder.resolve(door == null ? "log" : "log" + door.getPort());
-        configure(discovery.host());
+        this.adminAddress = adminAddress;
+        logFile = folder.resolve(adminAddress == null ? "log" : "log" + adminAddress.getPort());
+        configure(discovery.hostAndPort());
         List<String> command = new ArrayList<>(List.of(
                 "sh",
                 "-c",
-                "ulimit -n " + sockets + " && " + shell + " && exec \"$0\" \"$@\"",
+                "ulimit -n " + sockets + " && " + shellPrelude + " && exec \"$0\" \"$@\"",
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-XX:+UseSerialGC",
                 "-XX:TieredStopAtLevel=1",
                 "-Xmx64m"));
-        more.stream().filter(o -> o.startsWith("-X")).forEach(command::add);
+        extraArguments.stream().filter(option -> option.startsWith("-X")).forEach(command::add);
         command.addAll(List.of("-cp", System.getProperty("java.class.path"), Main.class.getName(), "serve"));
-        more.stream().filter(o -> !o.startsWith("-X")).forEach(command::add);
-        ProcessBuilder java = new ProcessBuilder(command);
-        java.environment().put("GW_CONFIG", folder.resolve("config.json").toString());
-        java.environment().put("GW_DISCOVERY", discovery.host());
-        java.environment().put("GW_NAME", NAME);
-        java.environment().put("TMPDIR", folder.toString());
-        if (door != null) {
-            java.environment().put("GW_CONTROL", "127.0.0.1:" + door.getPort());
+        extraArguments.stream().filter(option -> !option.startsWith("-X")).forEach(command::add);
+        ProcessBuilder builder = new ProcessBuilder(command);
+        builder.environment().put("GW_CONFIG", folder.resolve("config.json").toString());
+        builder.environment().put("GW_DISCOVERY", discovery.hostAndPort());
+        builder.environment().put("GW_NAME", NAME);
+        builder.environment().put("TMPDIR", folder.toString());
+        if (adminAddress != null) {
+            builder.environment().put("GW_CONTROL", "127.0.0.1:" + adminAddress.getPort());
         }
-        process = java.redirectErrorStream(true).redirectOutput(log.toFile()).start();
+        process = builder.redirectErrorStream(true)
+                .redirectOutput(logFile.toFile())
+                .start();
     }
 
     /**
@@ -170,26 +174,26 @@
 
     /** Replaces the config file atomically, as operators do. */
     void configure(String discovery) throws IOException {
-        replaceFile(file.apply("127.0.0.1:" + address.getPort(), discovery));
+        replaceFile(configText.apply("127.0.0.1:" + address.getPort(), discovery));
     }
 
-    private static BinaryOperator<String> fileOf(int sockets, int memoryMb, UnaryOperator<String> settings) {
+    private static BinaryOperator<String> configTemplate(int sockets, int memoryMb, UnaryOperator<String> settings) {
         String limits = "{\"memory_mb\":" + memoryMb + ",\"sockets\":" + sockets + "}";
         return (listen, discovery) -> "{\"listen\":\"" + listen + "\",\"discovery\":\"" + discovery + "\",\"limits\":"
-                + limits + ",\"settings\":" + settings.apply(String.format(Site.SETTINGS, 30)) + "}";
+                + limits + ",\"settings\":" + settings.apply(String.format(Site.SETTINGS_FORMAT, 30)) + "}";
     }
 
     void replaceFile(String text) throws IOException {
-        Path next = folder.resolve("next");
-        Files.writeString(next, text);
-        Files.move(next, folder.resolve("config.json"), java.nio.file.StandardCopyOption.REPLACE_EXISTING);
+        Path temporary = folder.resolve("next");
+        Files.writeString(temporary, text);
+        Files.move(temporary, folder.resolve("config.json"), java.nio.file.StandardCopyOption.REPLACE_EXISTING);
     }
 
     /**
      * Raises the promised answer times to 60 s: on a busy machine answers would otherwise miss them, and the module then refuses
      * part of the requests.
      */
-    private static String patient(String settings) {
+    private static String withLongPromises(String settings) {
         return settings.replaceAll("\"promise_s\":[0-9.]+", "\"promise_s\":60");
     }
 
@@ -199,39 +203,46 @@
                 .waitFor();
     }
 
-    boolean healthy() {
-        try (Line line = new Line(address)) {
-            return line.send("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n").read().status() == 200;
+    boolean isHealthy() {
+        try (RawConnection connection = new RawConnection(address)) {
+            return connection
+                            .send("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
+                            .read()
+                            .status()
+                    == 200;
         } catch (IOException e) {
             return false;
         }
     }
 
     /** The answer to an operator's call at the admin address; empty if the connection fails. */
-    String call(String line) {
+    String call(String command) {
         try {
-            return OperatorsTest.call(door, line);
+            return OperatorsTest.call(adminAddress, command);
         } catch (UncheckedIOException e) {
             return "";
         }
     }
 
     Conductor awaitHealthy() throws InterruptedException {
-        Site.await("healthy", START_MS, this::healthy);
+        Site.await("healthy", START_TIMEOUT_MS, this::isHealthy);
         return this;
     }
 
     Conductor awaitReady() throws InterruptedException {
         try {
-            Site.await("ready", START_MS, this::ready);
+            Site.await("ready", START_TIMEOUT_MS, this::isReady);
         } catch (AssertionError e) {
             throw new AssertionError(
-                    e.getMessage() + (process.isAlive() ? ", and the process is alive: " : ", and the process has ended: ") + logged(), e);
+                    e.getMessage()
+                            + (process.isAlive() ? ", and the process is alive: " : ", and the process has ended: ")
+                            + logged(),
+                    e);
         }
         return this;
     }
 
-    boolean ready() {
+    boolean isReady() {
         return call("PING").equals("ACK\n");
     }
 
@@ -243,19 +254,20 @@
     static long cpuMs(Process process) throws IOException {
         String stat = Files.readString(Path.of("/proc", Long.toString(process.pid()), "stat"));
         String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
-        return (Long.parseLong(fields[11]) + Long.parseLong(fields[12])) * 1000 / TICKS_PER_S;
+        return (Long.parseLong(fields[11]) + Long.parseLong(fields[12])) * 1000 / CLOCK_TICKS_PER_S;
     }
 
     /** The number of sockets that listen at the clients' address, from the kernel's TCP tables. */
-    int listeners() {
-        String listens = String.format(".* (0000000000000000FFFF0000)?0100007F:%04X [0:]+ 0A .*", address.getPort());
+    int listenerCount() {
+        String listeningRow =
+                String.format(".* (0000000000000000FFFF0000)?0100007F:%04X [0:]+ 0A .*", address.getPort());
         return Stream.of("/proc/net/tcp", "/proc/net/tcp6")
                 .map(Path::of)
                 .filter(Files::exists)
                 .mapToInt(table -> {
                     try {
                         return (int) Files.readAllLines(table).stream()
-                                .filter(l -> l.matches(listens))
+                                .filter(l -> l.matches(listeningRow))
                                 .count();
                     } catch (IOException e) {
                         throw new UncheckedIOException(e);
@@ -270,7 +282,7 @@
 
     private String logged() {
         try {
-            return Files.readString(log);
+            return Files.readString(logFile);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
@@ -287,12 +299,13 @@
         for (StandIn writer : writers) {
             entries.append(',').append(Site.entry(writer, "decode", "active"));
         }
-        return new StandIn((m, line) -> {
-            boolean watch = m.path().contains("from=");
+        return new StandIn((request, connection) -> {
+            boolean watch = request.path().contains("from=");
             if (watch) {
                 Thread.sleep(500);
             }
-            line.answer(200, "{\"version\":7,\"full\":" + !watch + ",\"servers\":[" + (watch ? "" : entries) + "]}");
+            connection.respond(
+                    200, "{\"version\":7,\"full\":" + !watch + ",\"servers\":[" + (watch ? "" : entries) + "]}");
         });
     }
 }
--- a/src/test/java/copperbeam/sockets/ConnectTimeTest.java
+++ b/src/test/java/copperbeam/sockets/ConnectTimeTest.java
@@ -19,19 +19,19 @@
 /** A transport that reports a failed connect late or never delays nothing: the peer enforces the connect timeout itself. */
 public class ConnectTimeTest {
     @Test
-    public void aConnectionHasItsTimeAndNoMore() throws Exception {
-        ScheduledExecutorService turns = Executors.newSingleThreadScheduledExecutor();
-        CompletableFuture<String> ended = new CompletableFuture<>();
-        Recorder recorder = (what, request, attempt, server, text, span) -> ended.complete(text);
+    public void aConnectEndsAtItsTimeout() throws Exception {
+        ScheduledExecutorService scheduler = Executors.newSingleThreadScheduledExecutor();
+        CompletableFuture<String> outcome = new CompletableFuture<>();
+        Recorder recorder = (type, request, attempt, server, text, duration) -> outcome.complete(text);
         ModuleActor module = new ModuleActor(
-                turns, Clock.systemUTC(), Site.settings(30), 7, null, recorder, new Metrics(List.of("ask")));
+                scheduler, Clock.systemUTC(), Site.settings(30), 7, null, recorder, new Metrics(List.of("ask")));
         new PeerActor(
-                        turns,
+                        scheduler,
                         "s",
                         new InetSocketAddress("127.0.0.1", 1),
                         new PeerActor.Setup(
                                 Clock.systemUTC(),
-                                (to, timeout, watcher) -> {},
+                                (address, timeout, listener) -> {},
                                 Duration.ofMillis(50),
                                 Duration.ofSeconds(15),
                                 Duration.ofHours(1),
@@ -40,7 +40,7 @@
                                 recorder,
                                 null))
                 .tell(new PeerActor.Probe());
-        assertEquals(ended.get(Line.PATIENCE_MS, TimeUnit.MILLISECONDS), "CONNECT_FAILED");
-        turns.shutdownNow();
+        assertEquals(outcome.get(RawConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS), "CONNECT_FAILED");
+        scheduler.shutdownNow();
     }
 }
--- a/src/test/java/copperbeam/sockets/CostProbe.java
+++ b/src/test/java/copperbeam/sockets/CostProbe.java
@@ -23,7 +23,7 @@
 public final class CostProbe {
     private static final int SERVERS = 6;
     private static final int CLIENTS = 32;
-    private static final int SPAN_S = 5;
+    private static final int INTERVAL_S = 5;
 
     private CostProbe() {}
 
@@ -33,35 +33,35 @@
         List<StandIn> servers = new ArrayList<>();
         List<String> entries = new ArrayList<>();
         for (int i = 0; i < SERVERS; i++) {
-            servers.add(new StandIn(i % 2 == 0 ? Site::read : Site::write));
+            servers.add(new StandIn(i % 2 == 0 ? Site::answerAsReader : Site::answerAsWriter));
             entries.add(Site.entry(servers.get(i), i % 2 == 0 ? "prefill" : "decode", "active"));
         }
         ScheduledExecutorService clients = Executors.newScheduledThreadPool(CLIENTS);
-        try (StandIn list = new StandIn((m, line) -> {
-                    boolean watch = m.path().contains("from=");
-                    if (watch) {
+        try (StandIn discovery = new StandIn((request, connection) -> {
+                    boolean isWatch = request.path().contains("from=");
+                    if (isWatch) {
                         Thread.sleep(2500);
                     }
-                    line.answer(
+                    connection.respond(
                             200,
-                            "{\"version\":7,\"full\":" + !watch + ",\"servers\":["
-                                    + (watch ? "" : String.join(",", entries)) + "]}");
+                            "{\"version\":7,\"full\":" + !isWatch + ",\"servers\":["
+                                    + (isWatch ? "" : String.join(",", entries)) + "]}");
                 });
                 Conductor conductor =
-                        new Conductor(list, 1024, 192, Arrays.asList(args).subList(2, args.length))) {
+                        new Conductor(discovery, 1024, 192, Arrays.asList(args).subList(2, args.length))) {
             conductor.awaitHealthy();
-            AtomicInteger done = new AtomicInteger();
-            AtomicInteger wrong = new AtomicInteger();
+            AtomicInteger answeredCount = new AtomicInteger();
+            AtomicInteger unservedCount = new AtomicInteger();
             for (int i = 0; i < CLIENTS; i++) {
-                Line client = new Line(conductor.address);
-                String name = "c" + i + "-";
+                RawConnection client = new RawConnection(conductor.address);
+                String idPrefix = "c" + i + "-";
                 AtomicInteger sent = new AtomicInteger();
                 clients.scheduleAtFixedRate(
                         () -> {
                             try {
-                                String id = name + sent.getAndIncrement();
+                                String id = idPrefix + sent.getAndIncrement();
                                 String body = "{\"model\":\"m\",\"text\":\"" + "x".repeat(4000) + "\"}";
-                                Line.Message answer = client.send(request(
+                                RawConnection.Message answer = client.send(request(
                                                 id,
                                                 sent.get() % 3 == 0 ? "send" : "ask",
                                                 "5000m",
@@ -69,10 +69,10 @@
                                                         + ",prompt_len=1000,prefix_len=500,max_out=100",
                                                 body))
                                         .read();
-                                done.incrementAndGet();
-                                wrong.addAndGet(answer.status() == 200 ? 0 : 1);
+                                answeredCount.incrementAndGet();
+                                unservedCount.addAndGet(answer.status() == 200 ? 0 : 1);
                             } catch (Exception e) {
-                                wrong.incrementAndGet();
+                                unservedCount.incrementAndGet();
                             }
                         },
                         1_000_000L * i / rate,
@@ -80,24 +80,27 @@
                         TimeUnit.MICROSECONDS);
             }
             CountDownLatch never = new CountDownLatch(1);
-            long cpu = conductor.cpuMs();
-            int before = 0;
-            for (int at = SPAN_S; at <= seconds; at += SPAN_S) {
-                never.await(SPAN_S, TimeUnit.SECONDS);
-                long now = conductor.cpuMs();
-                int all = done.get();
+            long cpuBeforeMs = conductor.cpuMs();
+            int answeredBefore = 0;
+            for (int elapsedS = INTERVAL_S; elapsedS <= seconds; elapsedS += INTERVAL_S) {
+                never.await(INTERVAL_S, TimeUnit.SECONDS);
+                long cpuNowMs = conductor.cpuMs();
+                int answeredNow = answeredCount.get();
                 System.out.printf(
                         "%3d s  %6d requests  %5d not served  %.2f ms of CPU a request%n",
-                        at, all - before, wrong.get(), (now - cpu) / (double) Math.max(1, all - before));
-                cpu = now;
-                before = all;
+                        elapsedS,
+                        answeredNow - answeredBefore,
+                        unservedCount.get(),
+                        (cpuNowMs - cpuBeforeMs) / (double) Math.max(1, answeredNow - answeredBefore));
+                cpuBeforeMs = cpuNowMs;
+                answeredBefore = answeredNow;
             }
             conductor.signal("TERM");
             conductor.process.waitFor(10, TimeUnit.SECONDS);
         } finally {
             clients.shutdownNow();
-            for (StandIn s : servers) {
-                s.close();
+            for (StandIn server : servers) {
+                server.close();
             }
         }
         System.exit(0);
--- a/src/test/java/copperbeam/sockets/DelayedHeadTest.java
+++ b/src/test/java/copperbeam/sockets/DelayedHeadTest.java
@@ -5,14 +5,14 @@
 
 import copperbeam.Api;
 import copperbeam.protocol.HttpCall;
-import copperbeam.routing.Answer;
-import copperbeam.routing.Ask;
 import copperbeam.routing.Connector;
 import copperbeam.routing.Metrics;
 import copperbeam.routing.ModuleActor;
 import copperbeam.routing.PeerActor;
 import copperbeam.routing.Recorder;
 import copperbeam.routing.ReleaseActor;
+import copperbeam.routing.RequestSpec;
+import copperbeam.routing.ResponseSink;
 import copperbeam.transport.ClientReactor;
 import copperbeam.transport.ServerConnector;
 import java.lang.reflect.Proxy;
@@ -37,7 +37,7 @@
 
     private final Instant start = Instant.now();
 
-    private enum Meanwhile {
+    private enum Change {
         NOTHING,
         THE_SERVER_DRAINS,
         THE_SERVER_LEAVES,
@@ -49,92 +49,93 @@
     @DataProvider
     public Object[][] cases() {
         return new Object[][] {
-            {Meanwhile.NOTHING, 1, 1},
-            {Meanwhile.THE_SERVER_DRAINS, 1, 0},
-            {Meanwhile.THE_SERVER_LEAVES, 1, 0},
-            {Meanwhile.TIME_PASSES, 2, 1},
-            {Meanwhile.TIME_PASSES_AND_IT_DRAINS, 2, 0},
+            {Change.NOTHING, 1, 1},
+            {Change.THE_SERVER_DRAINS, 1, 0},
+            {Change.THE_SERVER_LEAVES, 1, 0},
+            {Change.TIME_PASSES, 2, 1},
+            {Change.TIME_PASSES_AND_IT_DRAINS, 2, 0},
         };
     }
 
     // guards against a request that is sent to a server known to drain, because the server was chosen before it drained
     @Test(dataProvider = "cases")
-    public void aHeadLeavesWhereItsServerMayStillBeSentTo(Meanwhile meanwhile, int connections, int attempts)
-            throws Exception {
+    public void theHeadIsSentOnlyWhileTheServerTakesRequests(
+            Change change, int expectedConnections, int expectedAttempts) throws Exception {
         AtomicReference<Instant> now = new AtomicReference<>(start);
-        ScheduledThreadPoolExecutor turns = new ScheduledThreadPoolExecutor(1);
+        ScheduledThreadPoolExecutor scheduler = new ScheduledThreadPoolExecutor(1);
         AtomicReference<PeerActor> peer = new AtomicReference<>();
-        CountDownLatch up = new CountDownLatch(1);
-        CountDownLatch go = new CountDownLatch(1);
-        AtomicInteger connects = new AtomicInteger();
-        try (StandIn server = new StandIn(Site::read);
+        CountDownLatch firstConnected = new CountDownLatch(1);
+        CountDownLatch unblock = new CountDownLatch(1);
+        AtomicInteger connectCount = new AtomicInteger();
+        try (StandIn server = new StandIn(Site::answerAsReader);
                 ClientReactor reactor = new ClientReactor()) {
             ServerConnector connector = new ServerConnector(reactor);
-            Connector held = (to, timeout, watcher) -> connector.connect(to, timeout, new Connector.Watcher() {
-                @Override
-                public void up(Connector.Connection connection) {
-                    boolean first = connects.incrementAndGet() == 1;
-                    if (!first && meanwhile == Meanwhile.TIME_PASSES_AND_IT_DRAINS) {
-                        peer.get().tell(new PeerActor.Listed(true));
-                    }
-                    watcher.up(connection);
-                    if (first) {
-                        up.countDown();
-                        hold(go);
-                    }
-                }
+            Connector blockingConnector = (address, timeout, listener) ->
+                    connector.connect(address, timeout, new Connector.ConnectionListener() {
+                        @Override
+                        public void connected(Connector.Connection connection) {
+                            boolean isFirst = connectCount.incrementAndGet() == 1;
+                            if (!isFirst && change == Change.TIME_PASSES_AND_IT_DRAINS) {
+                                peer.get().tell(new PeerActor.Listed(true));
+                            }
+                            listener.connected(connection);
+                            if (isFirst) {
+                                firstConnected.countDown();
+                                awaitLatch(unblock);
+                            }
+                        }
 
-                @Override
-                public void failed() {
-                    watcher.failed();
-                }
+                        @Override
+                        public void connectFailed() {
+                            listener.connectFailed();
+                        }
 
-                @Override
-                public void closed(Connector.Connection connection) {
-                    watcher.closed(connection);
-                }
-            });
-            peer.set(peer(turns, clock(now), held, server.address()));
-            peer.get().tell(send());
-            up.await();
-            turns.submit(() -> {}).get(); // by now the attempt was handed to the reactor
-            switch (meanwhile) {
+                        @Override
+                        public void closed(Connector.Connection connection) {
+                            listener.closed(connection);
+                        }
+                    });
+            peer.set(newPeer(scheduler, settableClock(now), blockingConnector, server.address()));
+            peer.get().tell(newSend());
+            firstConnected.await();
+            scheduler.submit(() -> {}).get(); // by now the attempt was handed to the reactor
+            switch (change) {
                 case THE_SERVER_DRAINS -> peer.get().tell(new PeerActor.Listed(true));
-                case THE_SERVER_LEAVES -> peer.get().tell(new PeerActor.Gone());
+                case THE_SERVER_LEAVES -> peer.get().tell(new PeerActor.Removed());
                 case TIME_PASSES, TIME_PASSES_AND_IT_DRAINS -> now.set(start.plusSeconds(1));
                 default -> {}
             }
-            turns.submit(() -> {}).get();
-            go.countDown();
+            scheduler.submit(() -> {}).get();
+            unblock.countDown();
             await(
                     "an attempt or its end",
                     () -> server.attempts() > 0
-                            || server.lines.size() == connections
-                                    && server.lines.stream().allMatch(l -> l.ended));
-            assertEquals(server.attempts(), attempts);
-            assertEquals(connects.get(), connections);
+                            || server.connections.size() == expectedConnections
+                                    && server.connections.stream().allMatch(l -> l.closedByStandIn));
+            assertEquals(server.attempts(), expectedAttempts);
+            assertEquals(connectCount.get(), expectedConnections);
         } finally {
-            go.countDown();
-            turns.shutdownNow();
+            unblock.countDown();
+            scheduler.shutdownNow();
         }
     }
 
-    private PeerActor.Send send() {
-        HttpCall call =
+    private PeerActor.Send newSend() {
+        HttpCall httpCall =
                 new HttpCall("POST", "/v1/chat/completions", Map.of(), "{}".getBytes(StandardCharsets.US_ASCII), start);
-        Ask ask = new Ask("id", "ask", "k", null, 40, 0, 9, start.plus(MINUTE), false, call);
-        Answer answer = (Answer) Proxy.newProxyInstance(
+        RequestSpec spec = new RequestSpec("id", "ask", "k", null, 40, 0, 9, start.plus(MINUTE), false, httpCall);
+        ResponseSink response = (ResponseSink) Proxy.newProxyInstance(
                 getClass().getClassLoader(),
-                new Class<?>[] {Answer.class},
-                (p, method, args) -> method.getReturnType() == boolean.class ? false : null);
+                new Class<?>[] {ResponseSink.class},
+                (proxy, method, args) -> method.getReturnType() == boolean.class ? false : null);
         return new PeerActor.Send(
-                1, 0, ask, answer, start.plus(MINUTE), Instant.MAX, Instant.MAX, false, true, () -> false);
+                1, 0, spec, response, start.plus(MINUTE), Instant.MAX, Instant.MAX, false, true, () -> false);
     }
 
-    private static PeerActor peer(
-            ScheduledThreadPoolExecutor turns, Clock clock, Connector connector, InetSocketAddress at) {
+    private static PeerActor newPeer(
+            ScheduledThreadPoolExecutor scheduler, Clock clock, Connector connector, InetSocketAddress address) {
         Metrics metrics = new Metrics(List.of("ask"));
-        ReleaseActor releases = new ReleaseActor(turns, clock, MINUTE);
+        ReleaseActor releases = new ReleaseActor(scheduler, clock, MINUTE);
         Api.Settings settings = new Api.Settings(
                 1,
                 0,
@@ -143,21 +144,21 @@
                 List.of(),
                 new Api.Limits(4, false, false, 1),
                 new Api.Rules(1, 0, 1, 1, 1, 1),
-                Api.Reports.NEVER,
+                Api.ReportTiming.NEVER,
                 false,
                 0,
                 false,
                 false);
-        ModuleActor module = new ModuleActor(turns, clock, settings, 7, releases, Recorder.NONE, metrics);
+        ModuleActor module = new ModuleActor(scheduler, clock, settings, 7, releases, Recorder.NONE, metrics);
         return new PeerActor(
-                turns,
+                scheduler,
                 "s",
-                at,
+                address,
                 new PeerActor.Setup(
                         clock, connector, MINUTE, MINUTE, MINUTE, module, releases, Recorder.NONE, metrics));
     }
 
-    private static Clock clock(AtomicReference<Instant> now) {
+    private static Clock settableClock(AtomicReference<Instant> now) {
         return new Clock() {
             @Override
             public Instant instant() {
@@ -176,7 +177,7 @@
         };
     }
 
-    private static void hold(CountDownLatch latch) {
+    private static void awaitLatch(CountDownLatch latch) {
         try {
             latch.await();
         } catch (InterruptedException e) {
--- a/src/test/java/copperbeam/sockets/EndTest.java
+++ b/src/test/java/copperbeam/sockets/EndTest.java
@@ -10,7 +10,7 @@
 
 import copperbeam.program.Config;
 import copperbeam.program.Node;
-import copperbeam.transport.ClientRoom;
+import copperbeam.transport.ClientConnections;
 import copperbeam.transport.HttpFrontServer;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
@@ -31,24 +31,24 @@
      */
     @Test
     public void aStopIsOverOnceEachConnectionIsClosed() throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
+        CountDownLatch unblock = new CountDownLatch(1);
         try (Site site = new Site(1, 1);
-                Line client = site.client();
-                Line idle = site.client()) {
-            site.writers.get(0).script = attempts((m, line) -> {
-                line.beginStream().chunk("data: 1\n\n");
-                go.await();
-                line.lastChunk();
+                RawConnection client = site.client();
+                RawConnection idle = site.client()) {
+            site.writers.get(0).script = attempts((request, connection) -> {
+                connection.beginStream().sendChunk("data: 1\n\n");
+                unblock.await();
+                connection.sendLastChunk();
             });
-            client.send(request("ask", 8000)).head();
-            Thread stop = site.beginStop();
+            client.send(request("ask", 8000)).readHead();
+            Thread stopThread = site.beginStop();
             assertTrue(idle.awaitClosed());
-            go.countDown();
+            unblock.countDown();
             assertEquals(client.readChunk(), "data: 1\n\n");
             assertNull(client.readChunk());
-            stop.join(Line.PATIENCE_MS);
-            assertFalse(stop.isAlive());
-            assertTrue(client.isClosed());
+            stopThread.join(RawConnection.TIMEOUT_MS);
+            assertFalse(stopThread.isAlive());
+            assertTrue(client.isClosedByPeer());
         }
     }
 
@@ -61,7 +61,7 @@
         try (HttpFrontServer server = new HttpFrontServer(
                 (call, reply) -> () -> {},
                 Clock.systemUTC(),
-                new ClientRoom(10, 1 << 20),
+                new ClientConnections(10, 1 << 20),
                 (requestClass, status) -> {})) {
             server.listen(new InetSocketAddress("127.0.0.1", 0), true);
             server.stopListening();
@@ -74,35 +74,35 @@
     @Test
     public void aStreamIsCutBeforeAKillThatShortDeadlinesBringSooner() throws Exception {
         CountDownLatch never = new CountDownLatch(1);
-        try (StandIn reader = new StandIn(Site::read);
-                StandIn writer = new StandIn(attempts((m, line) -> {
-                    line.beginStream().chunk("data: 1\n\n");
+        try (StandIn reader = new StandIn(Site::answerAsReader);
+                StandIn writer = new StandIn(attempts((request, connection) -> {
+                    connection.beginStream().sendChunk("data: 1\n\n");
                     never.await();
                 }));
                 StandIn discovery = Conductor.discovery(reader, writer)) {
             Path file = Files.writeString(
                     Files.createTempFile("config", ".json"),
                     "{\"listen\":\"127.0.0.1:0\",\"discovery\":\""
-                            + discovery.host() + "\",\"settings\":"
-                            + String.format(Site.SETTINGS, 30.0)
+                            + discovery.hostAndPort() + "\",\"settings\":"
+                            + String.format(Site.SETTINGS_FORMAT, 30.0)
                                     .replace("\"semantics\"", "\"give_up_s\":1.5,\"semantics\"")
                             + "}");
             try (Node node = new Node(Config.read(Map.of("GW_CONFIG", file.toString()), null));
-                    Line client = new Line(node.address())) {
-                client.send(request("ask", 1500)).head();
+                    RawConnection client = new RawConnection(node.address())) {
+                client.send(request("ask", 1500)).readHead();
                 assertEquals(client.readChunk(), "data: 1\n\n");
-                Instant stopped = Instant.now();
-                Thread stop = new Thread(() -> {
+                Instant stoppedAt = Instant.now();
+                Thread stopThread = new Thread(() -> {
                     try {
                         node.stop();
                     } catch (InterruptedException e) {
                         throw new AssertionError(e);
                     }
                 });
-                stop.start();
+                stopThread.start();
                 assertEquals(client.readChunk(), "", "cut, so that its client resumes elsewhere");
-                assertTrue(Duration.between(stopped, Instant.now()).toMillis() < 2200, "before the kill");
-                stop.join(Line.PATIENCE_MS);
+                assertTrue(Duration.between(stoppedAt, Instant.now()).toMillis() < 2200, "before the kill");
+                stopThread.join(RawConnection.TIMEOUT_MS);
             }
         }
     }
@@ -113,34 +113,35 @@
      */
     @Test
     public void nothingIsSentOnLateInAStopWhereStreamsCantResume() throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
+        CountDownLatch unblock = new CountDownLatch(1);
         try (Site site = new Site(
                         1,
                         1,
                         30,
                         null,
                         List.of(),
-                        Config.Limits.USUAL,
-                        Site.parsed(String.format(Site.SETTINGS, 30.0).replace("\"resume\":true", "\"resume\":false")),
+                        Config.Limits.DEFAULT,
+                        Site.parseSettings(String.format(Site.SETTINGS_FORMAT, 30.0)
+                                .replace("\"resume\":true", "\"resume\":false")),
                         Duration.ofMillis(250));
-                Line client = site.client();
-                Line idle = site.client()) {
-            site.writers.get(0).script = attempts((m, line) -> {
-                line.beginStream().chunk("data: 1\n\n");
-                go.await();
-                line.lastChunk();
+                RawConnection client = site.client();
+                RawConnection idle = site.client()) {
+            site.writers.get(0).script = attempts((request, connection) -> {
+                connection.beginStream().sendChunk("data: 1\n\n");
+                unblock.await();
+                connection.sendLastChunk();
             });
-            client.send(request("ask", 8000)).head();
-            Thread stop = site.beginStop();
+            client.send(request("ask", 8000)).readHead();
+            Thread stopThread = site.beginStop();
             assertTrue(idle.awaitClosed()); // 0.8 s after the stop began
             client.send(request("ask", 8000)); // read at once, answered after the first
             Thread.sleep(200); // ample time for it to reach the reader
-            go.countDown();
+            unblock.countDown();
             assertEquals(client.readChunk(), "data: 1\n\n");
             assertNull(client.readChunk());
             assertEquals(client.read().status(), 429);
             assertEquals(site.attempts(site.readers), 1);
-            stop.join(Line.PATIENCE_MS);
+            stopThread.join(RawConnection.TIMEOUT_MS);
         }
     }
 
@@ -149,21 +150,21 @@
      * client may safely send it again.
      */
     @Test
-    public void nothingIsReadUnderASeal() throws Exception {
+    public void nothingIsReadWhileReadingIsPaused() throws Exception {
         try (HttpFrontServer server = new HttpFrontServer(
                         (call, reply) -> {
-                            reply.whole(200, "text/plain", Map.of(), new byte[0]);
+                            reply.respond(200, "text/plain", Map.of(), new byte[0]);
                             return () -> {};
                         },
                         Clock.systemUTC(),
-                        new ClientRoom(10, 1 << 20),
+                        new ClientConnections(10, 1 << 20),
                         (requestClass, status) -> {});
-                Line client = new Line(server.listen(new InetSocketAddress("127.0.0.1", 0), false))) {
-            await("reading is paused", server::seal);
+                RawConnection client = new RawConnection(server.listen(new InetSocketAddress("127.0.0.1", 0), false))) {
+            await("reading is paused", server::pauseReading);
             client.send(request("ask", 8000));
             Thread.sleep(150); // ample time for an answer
-            assertFalse(client.ready());
-            server.unseal();
+            assertFalse(client.hasInput());
+            server.resumeReading();
             assertEquals(client.read().status(), 200);
         }
     }
--- a/src/test/java/copperbeam/sockets/EtcdMembershipTest.java
+++ b/src/test/java/copperbeam/sockets/EtcdMembershipTest.java
@@ -19,19 +19,19 @@
         return Base64.getEncoder().encodeToString(text.getBytes(StandardCharsets.UTF_8));
     }
 
-    private static String kv(StandIn server, String kind, String state) {
+    private static String keyValueJson(StandIn server, String kind, String state) {
         String entry = Site.entry(server, kind, state);
         return "{\"key\":\"" + base64(PREFIX + "s" + server.address().getPort()) + "\",\"value\":\"" + base64(entry)
                 + "\"}";
     }
 
-    private static String event(int revision, String event) {
-        return "{\"result\":{\"header\":{\"revision\":\"" + revision + "\"},\"events\":[" + event + "]}}\n";
+    private static String watchLine(int revision, String events) {
+        return "{\"result\":{\"header\":{\"revision\":\"" + revision + "\"},\"events\":[" + events + "]}}\n";
     }
 
-    private static void serves(Site site, int status) throws Exception {
+    private static void awaitStatus(Site site, int status) throws Exception {
         await("serves with " + status, () -> {
-            try (Line client = site.client()) {
+            try (RawConnection client = site.client()) {
                 return client.send(request("ask", 300)).read().status() == status;
             } catch (Exception e) {
                 throw new AssertionError(e);
@@ -41,59 +41,60 @@
 
     @Test
     public void listsWatchesReconnectsAndListsAnewAfterACompaction() throws Exception {
-        LinkedBlockingQueue<String> told = new LinkedBlockingQueue<>();
-        List<String> ranges = new java.util.concurrent.CopyOnWriteArrayList<>();
-        try (StandIn etcd = new StandIn((m, line) -> {
-            if (m.path().equals("/v3/kv/range")) {
-                line.answer(200, ranges.remove(0));
+        LinkedBlockingQueue<String> watchLines = new LinkedBlockingQueue<>();
+        List<String> rangeAnswers = new java.util.concurrent.CopyOnWriteArrayList<>();
+        try (StandIn etcd = new StandIn((request, connection) -> {
+            if (request.path().equals("/v3/kv/range")) {
+                connection.respond(200, rangeAnswers.remove(0));
                 return;
             }
-            line.beginStream().chunk("{\"result\":{\"header\":{\"revision\":\"7\"},\"created\":true}}\n");
-            for (String next = told.take(); !next.isEmpty(); next = told.take()) {
+            connection.beginStream().sendChunk("{\"result\":{\"header\":{\"revision\":\"7\"},\"created\":true}}\n");
+            for (String next = watchLines.take(); !next.isEmpty(); next = watchLines.take()) {
                 // in two pieces, as JSON lines need not coincide with chunks
-                line.chunk(next.substring(0, 9)).chunk(next.substring(9));
+                connection.sendChunk(next.substring(0, 9)).sendChunk(next.substring(9));
             }
-            line.reset();
+            connection.reset();
         })) {
-            ranges.add("{\"header\":{\"revision\":\"7\"}}");
+            rangeAnswers.add("{\"header\":{\"revision\":\"7\"}}");
             try (Site site = new Site(1, 1, 30, new Config.Etcd(etcd.address(), PREFIX), List.of())) {
-                await("watch", () -> watches(etcd, 8) == 1);
-                told.add(event(
+                await("watch", () -> countWatches(etcd, 8) == 1);
+                watchLines.add(watchLine(
                         8,
-                        "{\"kv\":" + kv(site.readers.get(0), "prefill", "active") + "},{\"kv\":"
-                                + kv(site.writers.get(0), "decode", "active") + "}"));
-                serves(site, 200);
-                told.add(""); // makes the stand-in reset the watch
-                await("watches again from the revision after the last", () -> watches(etcd, 9) == 1);
+                        "{\"kv\":" + keyValueJson(site.readers.get(0), "prefill", "active") + "},{\"kv\":"
+                                + keyValueJson(site.writers.get(0), "decode", "active") + "}"));
+                awaitStatus(site, 200);
+                watchLines.add(""); // makes the stand-in reset the watch
+                await("watches again from the revision after the last", () -> countWatches(etcd, 9) == 1);
 
-                told.add(event(
+                watchLines.add(watchLine(
                         9,
                         "{\"type\":\"DELETE\",\"kv\":{\"key\":\""
                                 + base64(PREFIX + "s"
                                         + site.writers.get(0).address().getPort()) + "\"}}"));
                 await("deleted", () -> {
-                    long at = site.attempts(site.writers);
-                    try (Line client = site.client()) {
+                    long attemptsBefore = site.attempts(site.writers);
+                    try (RawConnection client = site.client()) {
                         return client.send(request("ask", 300)).read().status() != 200
-                                && site.attempts(site.writers) == at;
+                                && site.attempts(site.writers) == attemptsBefore;
                     } catch (Exception e) {
                         throw new AssertionError(e);
                     }
                 });
 
-                ranges.add("{\"header\":{\"revision\":\"40\"},\"kvs\":[" + kv(site.readers.get(0), "prefill", "active")
-                        + "," + kv(site.writers.get(0), "decode", "active") + "]}");
-                told.add("{\"result\":{\"canceled\":true,\"compact_revision\":\"30\"}}\n");
-                await("lists again, then watches", () -> watches(etcd, 41) == 1);
-                serves(site, 200);
-                assertTrue(ranges.isEmpty());
+                rangeAnswers.add("{\"header\":{\"revision\":\"40\"},\"kvs\":["
+                        + keyValueJson(site.readers.get(0), "prefill", "active") + ","
+                        + keyValueJson(site.writers.get(0), "decode", "active") + "]}");
+                watchLines.add("{\"result\":{\"canceled\":true,\"compact_revision\":\"30\"}}\n");
+                await("lists again, then watches", () -> countWatches(etcd, 41) == 1);
+                awaitStatus(site, 200);
+                assertTrue(rangeAnswers.isEmpty());
             }
         }
     }
 
-    private static long watches(StandIn etcd, int from) {
-        return etcd.count(m -> m.path().equals("/v3/watch")
-                && m.text().contains("\"start_revision\":\"" + from + "\"")
-                && m.text().contains(base64(PREFIX)));
+    private static long countWatches(StandIn etcd, int startRevision) {
+        return etcd.count(request -> request.path().equals("/v3/watch")
+                && request.text().contains("\"start_revision\":\"" + startRevision + "\"")
+                && request.text().contains(base64(PREFIX)));
     }
 }
--- a/src/test/java/copperbeam/sockets/EventProbe.java
+++ b/src/test/java/copperbeam/sockets/EventProbe.java
@@ -20,11 +20,11 @@
  */
 public final class EventProbe {
     private static final int CLIENTS = 16; // half of them at each front
-    private static final int EVENTS = 40; // events per stream
-    private static final long PACE_MS = 25; // between two events of a stream
-    private static final Pattern WRITTEN = Pattern.compile("<(\\d+)>");
+    private static final int EVENTS_PER_STREAM = 40; // events per stream
+    private static final long EVENT_INTERVAL_MS = 25; // between two events of a stream
+    private static final Pattern WRITE_TIME_PATTERN = Pattern.compile("<(\\d+)>");
 
-    private enum Row {
+    private enum Disturbance {
         CALM,
         GARBAGE,
         NOISE,
@@ -42,23 +42,23 @@
         void run() throws Exception;
     }
 
-    private final Site site = new Site(2, 4, Config.Limits.USUAL);
-    private final AtomicBoolean over = new AtomicBoolean();
-    private final ConcurrentLinkedQueue<Long> delays = new ConcurrentLinkedQueue<>();
-    private final AtomicInteger unserved = new AtomicInteger();
-    private final AtomicInteger done = new AtomicInteger(); // actions of the disturbing threads
+    private final Site site = new Site(2, 4, Config.Limits.DEFAULT);
+    private final AtomicBoolean stopped = new AtomicBoolean();
+    private final ConcurrentLinkedQueue<Long> delaysNs = new ConcurrentLinkedQueue<>();
+    private final AtomicInteger unservedCount = new AtomicInteger();
+    private final AtomicInteger disturbanceCount = new AtomicInteger(); // actions of the disturbing threads
     private final List<Thread> threads = new ArrayList<>();
 
     private EventProbe() throws Exception {
-        site.writers.forEach(w -> w.script = Site.attempts(this::write));
+        site.writers.forEach(w -> w.script = Site.attempts(this::writeStream));
     }
 
     public static void main(String[] args) throws Exception {
         int seconds = Integer.parseInt(args[0]);
-        for (Row row : Row.values()) {
-            if (args.length == 1 || List.of(args).contains(row.name())) {
+        for (Disturbance disturbance : Disturbance.values()) {
+            if (args.length == 1 || List.of(args).contains(disturbance.name())) {
                 EventProbe probe = new EventProbe();
-                probe.play(row, seconds);
+                probe.measure(disturbance, seconds);
             }
         }
         System.exit(0);
@@ -69,26 +69,26 @@
                 + "\"},\"finish_reason\":null}]}\n\n";
     }
 
-    private void write(Line.Message m, Line line) throws Exception {
-        line.beginStream();
-        if (m.header("X-Priority-Class").equals("send")) {
+    private void writeStream(RawConnection.Message request, RawConnection connection) throws Exception {
+        connection.beginStream();
+        if (request.header("X-Priority-Class").equals("send")) {
             String block = event("x".repeat(50)).repeat(4);
-            for (int i = 0; !over.get(); i++) {
-                line.chunk(block);
+            for (int i = 0; !stopped.get(); i++) {
+                connection.sendChunk(block);
             }
-        } else if (!m.header("X-Request-ID").startsWith("quick")) {
-            for (int i = 0; i < EVENTS; i++) {
-                line.chunk(event("<" + System.nanoTime() + ">"));
-                Thread.sleep(PACE_MS);
+        } else if (!request.header("X-Request-ID").startsWith("quick")) {
+            for (int i = 0; i < EVENTS_PER_STREAM; i++) {
+                connection.sendChunk(event("<" + System.nanoTime() + ">"));
+                Thread.sleep(EVENT_INTERVAL_MS);
             }
         }
-        line.chunk(event("") + "data: [DONE]\n\n").lastChunk();
+        connection.sendChunk(event("") + "data: [DONE]\n\n").sendLastChunk();
     }
 
-    private void loop(int count, Task task) {
+    private void startLoops(int count, Task task) {
         for (int i = 0; i < count; i++) {
             Thread thread = new Thread(() -> {
-                while (!over.get()) {
+                while (!stopped.get()) {
                     try {
                         task.run();
                     } catch (Exception e) {
@@ -102,157 +102,166 @@
         }
     }
 
-    private void play(Row row, int seconds) throws Exception {
+    private void measure(Disturbance disturbance, int seconds) throws Exception {
         for (boolean chat : new boolean[] {false, true}) {
-            loop(CLIENTS / 2, () -> stream(chat));
+            startLoops(CLIENTS / 2, () -> receiveStream(chat));
         }
         Thread.sleep(3000); // until the JIT has compiled the code
-        delays.clear();
-        unserved.set(0);
-        disturb(row);
+        delaysNs.clear();
+        unservedCount.set(0);
+        disturb(disturbance);
         Thread.sleep(seconds * 1000L);
-        over.set(true);
-        List<Long> sorted = delays.stream().sorted().collect(Collectors.toList());
+        stopped.set(true);
+        List<Long> sortedDelaysNs = delaysNs.stream().sorted().collect(Collectors.toList());
         System.out.printf(
                 "%-16s events %6d  p50 %6.1f  p99 %6.1f  p99.9 %6.1f  worst %6.1f ms  over 300 ms %4d  unserved %4d  others %7d%n",
-                row,
-                sorted.size(),
-                at(sorted, 0.5),
-                at(sorted, 0.99),
-                at(sorted, 0.999),
-                at(sorted, 1),
-                sorted.stream().filter(d -> d > 300_000_000L).count(),
-                unserved.get(),
-                done.get());
+                disturbance,
+                sortedDelaysNs.size(),
+                percentileMs(sortedDelaysNs, 0.5),
+                percentileMs(sortedDelaysNs, 0.99),
+                percentileMs(sortedDelaysNs, 0.999),
+                percentileMs(sortedDelaysNs, 1),
+                sortedDelaysNs.stream().filter(d -> d > 300_000_000L).count(),
+                unservedCount.get(),
+                disturbanceCount.get());
         for (Thread thread : threads) {
             thread.join(2000);
         }
         site.close();
     }
 
-    private static double at(List<Long> sorted, double part) {
-        return sorted.isEmpty() ? Double.NaN : sorted.get((int) (part * (sorted.size() - 1))) / 1e6;
+    private static double percentileMs(List<Long> sortedDelaysNs, double quantile) {
+        return sortedDelaysNs.isEmpty()
+                ? Double.NaN
+                : sortedDelaysNs.get((int) (quantile * (sortedDelaysNs.size() - 1))) / 1e6;
     }
 
-    private void stream(boolean chat) throws Exception {
-        try (Line line = chat ? site.chatClient() : site.client()) {
-            Line.Message head = line.send(chat ? Site.chat("m-ask", true, "") : Site.request("ask", 1500))
-                    .head();
+    private void receiveStream(boolean chat) throws Exception {
+        try (RawConnection connection = chat ? site.chatClient() : site.client()) {
+            RawConnection.Message head = connection
+                    .send(chat ? Site.chatRequest("m-ask", true, "") : Site.request("ask", 1500))
+                    .readHead();
             if (head.status() != 200) {
-                unserved.incrementAndGet();
+                unservedCount.incrementAndGet();
                 return;
             }
-            for (String chunk = line.readChunk(); chunk != null && !chunk.isEmpty(); chunk = line.readChunk()) {
+            for (String chunk = connection.readChunk();
+                    chunk != null && !chunk.isEmpty();
+                    chunk = connection.readChunk()) {
                 long now = System.nanoTime();
-                for (Matcher m = WRITTEN.matcher(chunk); m.find(); ) {
-                    delays.add(now - Long.parseLong(m.group(1)));
+                for (Matcher matcher = WRITE_TIME_PATTERN.matcher(chunk); matcher.find(); ) {
+                    delaysNs.add(now - Long.parseLong(matcher.group(1)));
                 }
             }
         }
     }
 
-    private void disturb(Row row) throws Exception {
-        switch (row) {
+    private void disturb(Disturbance disturbance) throws Exception {
+        switch (disturbance) {
             case CALM -> {}
             case GARBAGE -> {
-                for (Row kind : new Row[] {Row.NOISE, Row.PIPELINED, Row.EXTENSIONS, Row.ENDLESS}) {
+                for (Disturbance kind : new Disturbance[] {
+                    Disturbance.NOISE, Disturbance.PIPELINED, Disturbance.EXTENSIONS, Disturbance.ENDLESS
+                }) {
                     disturb(kind);
                 }
             }
-            case NOISE -> loop(3, () -> garbage("\u0001\u00ff\r\n\n\n: : ".repeat(500), 100));
-            case PIPELINED -> loop(3, () -> garbage("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n".repeat(200), 100));
+            case NOISE -> startLoops(3, () -> sendRepeatedly("\u0001\u00ff\r\n\n\n: : ".repeat(500), 100));
+            case PIPELINED ->
+                startLoops(3, () -> sendRepeatedly("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n".repeat(200), 100));
             case EXTENSIONS ->
-                loop(
+                startLoops(
                         3,
-                        () -> garbage(
+                        () -> sendRepeatedly(
                                 Site.request("send", 1500)
                                                 .replaceFirst(
                                                         "Content-Length.*\r\n\r\n\\{\\}",
                                                         "Transfer-Encoding: chunked\r\n\r\n")
                                         + "1;" + "x".repeat(4000) + "\r\n{\r\n",
                                 1));
-            case ENDLESS -> loop(3, this::endless);
+            case ENDLESS -> startLoops(3, this::sendEndlessBody);
             case NEW_CONNECTIONS ->
-                loop(1, () -> {
-                    List<Line> lines = new ArrayList<>();
+                startLoops(1, () -> {
+                    List<RawConnection> connections = new ArrayList<>();
                     for (int i = 0; i < 100; i++) {
-                        lines.add(site.client());
+                        connections.add(site.client());
                     }
-                    for (Line line : lines) {
-                        line.send("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
+                    for (RawConnection connection : connections) {
+                        connection.send("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
                     }
-                    for (Line line : lines) {
-                        line.read();
-                        line.close();
-                        done.incrementAndGet();
+                    for (RawConnection connection : connections) {
+                        connection.read();
+                        connection.close();
+                        disturbanceCount.incrementAndGet();
                     }
                     Thread.sleep(200);
                 });
-            case SLOW_READERS -> loop(8, () -> read(50));
-            case QUICK_READERS -> loop(2, () -> read(0));
+            case SLOW_READERS -> startLoops(8, () -> readStream(50));
+            case QUICK_READERS -> startLoops(2, () -> readStream(0));
             case LIST_CHANGES -> {
-                List<StandIn> more = new ArrayList<>();
+                List<StandIn> addedServers = new ArrayList<>();
                 for (int i = 0; i < 100; i++) {
-                    more.add(new StandIn(Site::read));
+                    addedServers.add(new StandIn(Site::answerAsReader));
                 }
-                loop(1, () -> {
-                    String state = done.getAndIncrement() % 2 == 0 ? "active" : "leaving";
-                    site.changes.add(more.stream()
+                startLoops(1, () -> {
+                    String state = disturbanceCount.getAndIncrement() % 2 == 0 ? "active" : "leaving";
+                    site.listChanges.add(addedServers.stream()
                             .map(s -> Site.entry(s, "prefill", state))
                             .collect(Collectors.joining(",")));
                     Thread.sleep(300);
                 });
             }
             case CROWD ->
-                loop(48, () -> {
-                    try (Line line = site.client()) {
+                startLoops(48, () -> {
+                    try (RawConnection connection = site.client()) {
                         for (int i = 0; i < 20; i++) {
-                            line.send(Site.request(
+                            connection
+                                    .send(Site.request(
                                             "quick" + System.nanoTime(),
                                             "ask",
                                             i % 2 == 0 ? "1500m" : "25m",
                                             "prompt_len=40,max_out=9",
                                             "{}"))
                                     .read();
-                            done.incrementAndGet();
+                            disturbanceCount.incrementAndGet();
                         }
                     }
                 });
-            default -> throw new AssertionError(row);
+            default -> throw new AssertionError(disturbance);
         }
     }
 
-    private void garbage(String text, int times) throws Exception {
-        try (Line line = site.client()) {
-            for (int i = 0; i < times && !over.get(); i++) {
-                line.send(text);
-                done.incrementAndGet();
+    private void sendRepeatedly(String text, int times) throws Exception {
+        try (RawConnection connection = site.client()) {
+            for (int i = 0; i < times && !stopped.get(); i++) {
+                connection.send(text);
+                disturbanceCount.incrementAndGet();
             }
         }
     }
 
     /** Sends a chunked body without end, as fast as it is accepted. */
-    private void endless() throws Exception {
+    private void sendEndlessBody() throws Exception {
         String chunks = ("1;" + "x".repeat(2000) + "\r\n{\r\n").repeat(50);
-        try (Line line = site.client()) {
-            line.send(Site.request("send", 1500)
+        try (RawConnection connection = site.client()) {
+            connection.send(Site.request("send", 1500)
                     .replaceFirst("Content-Length.*\r\n\r\n\\{\\}", "Transfer-Encoding: chunked\r\n\r\n"));
-            while (!over.get()) {
-                line.send(chunks);
-                done.incrementAndGet();
+            while (!stopped.get()) {
+                connection.send(chunks);
+                disturbanceCount.incrementAndGet();
             }
         }
     }
 
     /** Reads a stream that its server writes as fast as it can, with a pause after each chunk. */
-    private void read(int pauseMs) throws Exception {
-        try (Line line = site.client()) {
-            line.send(Site.request("send", 1500)).head();
-            for (String chunk = line.readChunk();
-                    !over.get() && chunk != null && !chunk.isEmpty();
-                    chunk = line.readChunk()) {
+    private void readStream(int pauseMs) throws Exception {
+        try (RawConnection connection = site.client()) {
+            connection.send(Site.request("send", 1500)).readHead();
+            for (String chunk = connection.readChunk();
+                    !stopped.get() && chunk != null && !chunk.isEmpty();
+                    chunk = connection.readChunk()) {
                 Thread.sleep(pauseMs);
-                done.incrementAndGet();
+                disturbanceCount.incrementAndGet();
             }
         }
     }
--- a/src/test/java/copperbeam/sockets/HeldBackTest.java
+++ b/src/test/java/copperbeam/sockets/HeldBackTest.java
@@ -9,8 +9,6 @@
 import copperbeam.Api.Report;
 import copperbeam.Api.ServerState;
 import copperbeam.protocol.HttpCall;
-import copperbeam.routing.Answer;
-import copperbeam.routing.Ask;
 import copperbeam.routing.Connector;
 import copperbeam.routing.ListActor;
 import copperbeam.routing.MembershipSource;
@@ -19,6 +17,8 @@
 import copperbeam.routing.PeerActor;
 import copperbeam.routing.Recorder;
 import copperbeam.routing.ReleaseActor;
+import copperbeam.routing.RequestSpec;
+import copperbeam.routing.ResponseSink;
 import copperbeam.transport.ClientReactor;
 import copperbeam.transport.ServerConnector;
 import java.io.ByteArrayOutputStream;
@@ -44,7 +44,7 @@
  * reset first, the byte is never sent, because on a busy machine the server may not run within the usual 2 ms.
  */
 public class HeldBackTest {
-    private enum Meets {
+    private enum WriterAction {
         RESET,
         RESET_AFTER_EVENT,
         SERVED
@@ -52,53 +52,53 @@
 
     /** What the writer does with each connection; they are numbered from 0. */
     private interface Plan {
-        Meets of(int connection);
+        WriterAction actionOn(int connection);
     }
 
-    private static final class Parts implements AutoCloseable {
-        final ScheduledThreadPoolExecutor turns = new ScheduledThreadPoolExecutor(1);
+    private static final class RoutingFixture implements AutoCloseable {
+        final ScheduledThreadPoolExecutor scheduler = new ScheduledThreadPoolExecutor(1);
         final ClientReactor reactor = new ClientReactor();
-        final StandIn reader = new StandIn(Site::read);
-        final StandIn writer = new StandIn(Site::write);
-        final AtomicInteger met = new AtomicInteger();
-        final CountDownLatch passed = new CountDownLatch(1); // an event was forwarded to the client
+        final StandIn reader = new StandIn(Site::answerAsReader);
+        final StandIn writer = new StandIn(Site::answerAsWriter);
+        final AtomicInteger writerConnectionCount = new AtomicInteger();
+        final CountDownLatch eventForwarded = new CountDownLatch(1); // an event was forwarded to the client
         final ModuleActor module;
 
-        Parts(Plan plan) throws Exception {
-            writer.opening = line -> {
-                Meets meets = plan.of(met.getAndIncrement());
-                if (meets != Meets.SERVED) {
-                    line.head();
-                    if (meets == Meets.RESET_AFTER_EVENT) {
-                        line.beginStream().chunk("data: 1\n\n");
-                        assertTrue(passed.await(Line.PATIENCE_MS, TimeUnit.MILLISECONDS));
+        RoutingFixture(Plan plan) throws Exception {
+            writer.onConnect = connection -> {
+                WriterAction action = plan.actionOn(writerConnectionCount.getAndIncrement());
+                if (action != WriterAction.SERVED) {
+                    connection.readHead();
+                    if (action == WriterAction.RESET_AFTER_EVENT) {
+                        connection.beginStream().sendChunk("data: 1\n\n");
+                        assertTrue(eventForwarded.await(RawConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS));
                     }
-                    line.reset();
+                    connection.reset();
                 }
             };
             Clock clock = Clock.systemUTC();
-            Duration patience = Duration.ofSeconds(5);
-            ReleaseActor releases = new ReleaseActor(turns, clock, patience);
+            Duration timeout = Duration.ofSeconds(5);
+            ReleaseActor releases = new ReleaseActor(scheduler, clock, timeout);
             Metrics metrics = new Metrics(List.of("ask", "send"));
-            module = new ModuleActor(turns, clock, Site.settings(30), 7, releases, Recorder.NONE, metrics);
+            module = new ModuleActor(scheduler, clock, Site.settings(30), 7, releases, Recorder.NONE, metrics);
             PeerActor.Setup setup = new PeerActor.Setup(
                     clock,
-                    new Withholding(new ServerConnector(reactor), writer.address(), plan),
-                    patience,
-                    patience,
-                    patience,
+                    new WithholdingConnector(new ServerConnector(reactor), writer.address(), plan),
+                    timeout,
+                    timeout,
+                    timeout,
                     module,
                     releases,
                     Recorder.NONE,
                     metrics);
-            ListActor list =
-                    new ListActor(turns, (id, at) -> new PeerActor(turns, id, at, setup), module, releases, 10);
+            ListActor listActor = new ListActor(
+                    scheduler, (id, address) -> new PeerActor(scheduler, id, address, setup), module, releases, 10);
             CountDownLatch listed = new CountDownLatch(1);
-            list.tell(new ListActor.Told(
+            listActor.tell(new ListActor.ListChanged(
                     new MembershipSource.Change(
                             ListKind.FULL, List.of(entry("r", reader, "prefill"), entry("w", writer, "decode"))),
                     listed::countDown));
-            assertTrue(listed.await(Line.PATIENCE_MS, TimeUnit.MILLISECONDS));
+            assertTrue(listed.await(RawConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS));
         }
 
         private static MembershipSource.Entry entry(String id, StandIn server, String kind) {
@@ -112,27 +112,30 @@
         String send(String id) throws Exception {
             HttpCall call = new HttpCall(
                     "POST", "/v1/chat/completions", Map.of(), "{}".getBytes(StandardCharsets.US_ASCII), Instant.now());
-            Told told = new Told(passed);
-            module.arrive(new Ask(id, "send", "k", null, 40, 0, 9, Instant.now().plusSeconds(8), false, call), told);
-            return told.last.get(Line.PATIENCE_MS, TimeUnit.MILLISECONDS);
+            RecordingSink sink = new RecordingSink(eventForwarded);
+            module.submit(
+                    new RequestSpec(
+                            id, "send", "k", null, 40, 0, 9, Instant.now().plusSeconds(8), false, call),
+                    sink);
+            return sink.outcome.get(RawConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS);
         }
 
         @Override
         public void close() throws IOException {
-            turns.shutdownNow();
+            scheduler.shutdownNow();
             reactor.close();
             reader.close();
             writer.close();
         }
     }
 
-    private static final class Told implements Answer {
+    private static final class RecordingSink implements ResponseSink {
         final ByteArrayOutputStream events = new ByteArrayOutputStream();
-        final CompletableFuture<String> last = new CompletableFuture<>();
-        final CountDownLatch passed;
+        final CompletableFuture<String> outcome = new CompletableFuture<>();
+        final CountDownLatch eventForwarded;
 
-        Told(CountDownLatch passed) {
-            this.passed = passed;
+        RecordingSink(CountDownLatch eventForwarded) {
+            this.eventForwarded = eventForwarded;
         }
 
         @Override
@@ -142,28 +145,28 @@
         public boolean event(byte[] raw, Runnable drained) {
             events.writeBytes(raw);
             drained.run();
-            passed.countDown();
+            eventForwarded.countDown();
             return true;
         }
 
         @Override
         public void end() {
-            last.complete(events.toString(StandardCharsets.UTF_8));
+            outcome.complete(events.toString(StandardCharsets.UTF_8));
         }
 
         @Override
         public void broken() {
-            last.complete(events.toString(StandardCharsets.UTF_8) + "broken");
+            outcome.complete(events.toString(StandardCharsets.UTF_8) + "broken");
         }
 
         @Override
         public void refuse(Duration retryAfter, boolean tried) {
-            last.complete("refused");
+            outcome.complete("refused");
         }
 
         @Override
-        public void fail(Failure why) {
-            last.complete("failed");
+        public void fail(Failure reason) {
+            outcome.complete("failed");
         }
     }
 
@@ -171,56 +174,58 @@
      * Doesn't report the hold of the last byte on connections that the writer won't serve, so that the byte is never
      * sent.
      */
-    private record Withholding(Connector all, InetSocketAddress writer, Plan plan, AtomicInteger connections)
+    private record WithholdingConnector(
+            Connector delegate, InetSocketAddress writer, Plan plan, AtomicInteger connectionCount)
             implements Connector {
-        Withholding(Connector all, InetSocketAddress writer, Plan plan) {
-            this(all, writer, plan, new AtomicInteger());
+        WithholdingConnector(Connector delegate, InetSocketAddress writer, Plan plan) {
+            this(delegate, writer, plan, new AtomicInteger());
         }
 
         @Override
-        public void connect(InetSocketAddress to, Duration timeout, Watcher watcher) {
-            boolean withhold = to.equals(writer) && plan.of(connections.getAndIncrement()) != Meets.SERVED;
-            Map<Connection, Connection> own = new ConcurrentHashMap<>();
-            all.connect(to, timeout, new Watcher() {
+        public void connect(InetSocketAddress address, Duration timeout, ConnectionListener listener) {
+            boolean withhold =
+                    address.equals(writer) && plan.actionOn(connectionCount.getAndIncrement()) != WriterAction.SERVED;
+            Map<Connection, Connection> wrappers = new ConcurrentHashMap<>();
+            delegate.connect(address, timeout, new ConnectionListener() {
                 @Override
-                public void up(Connection connection) {
-                    own.put(connection, withhold ? new Withheld(connection) : connection);
-                    watcher.up(own.get(connection));
+                public void connected(Connection connection) {
+                    wrappers.put(connection, withhold ? new WithholdingConnection(connection) : connection);
+                    listener.connected(wrappers.get(connection));
                 }
 
                 @Override
-                public void failed() {
-                    watcher.failed();
+                public void connectFailed() {
+                    listener.connectFailed();
                 }
 
                 @Override
                 public void closed(Connection connection) {
-                    watcher.closed(own.getOrDefault(connection, connection));
+                    listener.closed(wrappers.getOrDefault(connection, connection));
                 }
             });
         }
     }
 
-    private record Withheld(Connector.Connection on) implements Connector.Connection {
+    private record WithholdingConnection(Connector.Connection delegate) implements Connector.Connection {
         @Override
         public boolean isOpen() {
-            return on.isOpen();
+            return delegate.isOpen();
         }
 
         @Override
-        public void call(Connector.Call call, Connector.Listener listener) {
-            on.call(call, new Connector.Listener() {
+        public void call(Connector.Call call, Connector.CallListener listener) {
+            delegate.call(call, new Connector.CallListener() {
                 @Override
                 public void sent() {
                     throw new AssertionError("the last byte was sent, though nobody asked for it");
                 }
 
                 @Override
-                public void held() {}
+                public void lastByteHeld() {}
 
                 @Override
-                public void word(Connector.Word word, Report report) {
-                    listener.word(word, report);
+                public void answerClassified(Connector.AnswerKind kind, Report report) {
+                    listener.answerClassified(kind, report);
                 }
 
                 @Override
@@ -229,45 +234,45 @@
                 }
 
                 @Override
-                public void end(boolean reusable, double kept) {
-                    listener.end(reusable, kept);
+                public void end(boolean reusable, double keptTokens) {
+                    listener.end(reusable, keptTokens);
                 }
 
                 @Override
-                public void broken(boolean written) {
-                    listener.broken(written);
+                public void broken(boolean lastByteMayHaveLeft) {
+                    listener.broken(lastByteMayHaveLeft);
                 }
             });
         }
 
         @Override
-        public void let() {
+        public void sendLastByte() {
             throw new AssertionError("the last byte is to be sent, though its hold was not reported");
         }
 
         @Override
         public void grant(int bytes) {
-            on.grant(bytes);
+            delegate.grant(bytes);
         }
 
         @Override
-        public boolean heldBack() {
-            return on.heldBack();
+        public boolean isReceiveWindowFull() {
+            return delegate.isReceiveWindowFull();
         }
 
         @Override
-        public void readOut(Runnable read) {
-            on.readOut(read);
+        public void readOut(Runnable then) {
+            delegate.readOut(then);
         }
 
         @Override
         public void close() {
-            on.close();
+            delegate.close();
         }
 
         @Override
         public void abort() {
-            on.abort();
+            delegate.abort();
         }
     }
 
@@ -277,33 +282,36 @@
      */
     @Test
     public void aResetBeforeTheLastByteCostsNothing() throws Exception {
-        try (Parts parts = new Parts(connection -> connection % 2 == 0 ? Meets.RESET : Meets.SERVED)) {
+        try (RoutingFixture parts =
+                new RoutingFixture(connection -> connection % 2 == 0 ? WriterAction.RESET : WriterAction.SERVED)) {
             for (int i = 0; i < 3; i++) {
                 assertEquals(parts.send("id" + i), EVENTS);
             }
             assertEquals(parts.writer.attempts(), 3);
             assertEquals(parts.reader.attempts(), 3, "no attempt was used up");
-            assertEquals(parts.met.get(), 6);
+            assertEquals(parts.writerConnectionCount.get(), 6);
         }
     }
 
     /** Three such resets in a row end the attempt, which has certainly not run: the module starts another one. */
     @Test
     public void threeResetsBeforeTheLastByteSpendOneAttempt() throws Exception {
-        try (Parts parts = new Parts(connection -> connection < 3 ? Meets.RESET : Meets.SERVED)) {
+        try (RoutingFixture parts =
+                new RoutingFixture(connection -> connection < 3 ? WriterAction.RESET : WriterAction.SERVED)) {
             assertEquals(parts.send("id"), EVENTS);
             assertEquals(parts.writer.attempts(), 1);
-            assertEquals(parts.met.get(), 4);
+            assertEquals(parts.writerConnectionCount.get(), 4);
         }
     }
 
     /** Guards against a second run: a server that answers has begun to run the request, even without its last byte. */
     @Test
     public void anAnswerBeforeTheLastByteMayHaveRun() throws Exception {
-        try (Parts parts = new Parts(connection -> connection == 0 ? Meets.RESET_AFTER_EVENT : Meets.SERVED)) {
+        try (RoutingFixture parts = new RoutingFixture(
+                connection -> connection == 0 ? WriterAction.RESET_AFTER_EVENT : WriterAction.SERVED)) {
             assertEquals(parts.send("id"), "data: 1\n\nbroken");
             assertEquals(parts.writer.attempts(), 0);
-            assertEquals(parts.met.get(), 1);
+            assertEquals(parts.writerConnectionCount.get(), 1);
         }
     }
 }
--- a/src/test/java/copperbeam/sockets/KnownListTest.java
+++ b/src/test/java/copperbeam/sockets/KnownListTest.java
@@ -21,32 +21,32 @@
      * agent's list has arrived.
      */
     @Test
-    public void nothingGoesByAnOlderListBeforeTheAgentsIsIn() throws Exception {
-        CountDownLatch told = new CountDownLatch(1);
-        try (StandIn reader = new StandIn(Site::read);
-                StandIn drains = new StandIn(Site::write);
-                StandIn writer = new StandIn(Site::write);
-                StandIn discovery = new StandIn((m, line) -> {
-                    if (m.path().contains("from=")) {
+    public void noRequestIsRoutedBeforeTheAgentsListArrives() throws Exception {
+        CountDownLatch agentMayAnswer = new CountDownLatch(1);
+        try (StandIn reader = new StandIn(Site::answerAsReader);
+                StandIn drainingWriter = new StandIn(Site::answerAsWriter);
+                StandIn writer = new StandIn(Site::answerAsWriter);
+                StandIn discovery = new StandIn((request, connection) -> {
+                    if (request.path().contains("from=")) {
                         Thread.sleep(500);
                     } else {
-                        told.await();
+                        agentMayAnswer.await();
                     }
-                    line.answer(
+                    connection.respond(
                             200,
-                            list(
+                            listJson(
                                     9,
-                                    !m.path().contains("from="),
+                                    !request.path().contains("from="),
                                     Site.entry(reader, "prefill", "active"),
-                                    Site.entry(drains, "decode", "leaving"),
+                                    Site.entry(drainingWriter, "decode", "leaving"),
                                     Site.entry(writer, "decode", "active")));
                 })) {
-            String known =
-                    list(1, true, Site.entry(reader, "prefill", "active"), Site.entry(drains, "decode", "active"));
-            try (Node node = node(discovery, known);
-                    Line client = new Line(node.address())) {
+            String knownList = listJson(
+                    1, true, Site.entry(reader, "prefill", "active"), Site.entry(drainingWriter, "decode", "active"));
+            try (Node node = node(discovery, knownList);
+                    RawConnection client = new RawConnection(node.address())) {
                 client.send(request("send", 8000));
-                await("the list was requested", () -> !discovery.seen.isEmpty());
+                await("the list was requested", () -> !discovery.requests.isEmpty());
                 await("400 ms have passed", new java.util.function.BooleanSupplier() {
                     private final long until =
                             System.nanoTime() + Duration.ofMillis(400).toNanos();
@@ -57,9 +57,9 @@
                     }
                 });
                 assertEquals(reader.attempts(), 0);
-                told.countDown();
+                agentMayAnswer.countDown();
                 assertEquals(client.read().status(), 200);
-                assertEquals(drains.attempts(), 0);
+                assertEquals(drainingWriter.attempts(), 0);
                 assertEquals(writer.attempts(), 1);
             }
         }
@@ -72,75 +72,83 @@
 
     /** An agent that knows no servers yet is treated like a silent one: the configured list is used. */
     @Test(dataProvider = "starts")
-    public void nobodyIsTurnedAwayForAnAgentThatHasHeardOfNobody(String how) throws Exception {
-        CountDownLatch heard = new CountDownLatch(1);
-        try (StandIn reader = new StandIn(Site::read);
-                StandIn old = new StandIn(Site::write);
-                StandIn writer = new StandIn(Site::write);
-                StandIn discovery = new StandIn((m, line) -> {
-                    if (heard.getCount() > 0 && how.equals("silent")) {
-                        heard.await();
+    public void theKnownListServesWhileTheAgentHasNoServers(String agentState) throws Exception {
+        CountDownLatch agentHasServers = new CountDownLatch(1);
+        try (StandIn reader = new StandIn(Site::answerAsReader);
+                StandIn oldWriter = new StandIn(Site::answerAsWriter);
+                StandIn writer = new StandIn(Site::answerAsWriter);
+                StandIn discovery = new StandIn((request, connection) -> {
+                    if (agentHasServers.getCount() > 0 && agentState.equals("silent")) {
+                        agentHasServers.await();
                     }
-                    boolean watch = m.path().contains("from=");
-                    if (watch) {
+                    boolean isWatch = request.path().contains("from=");
+                    if (isWatch) {
                         Thread.sleep(500);
                     }
-                    line.answer(
+                    connection.respond(
                             200,
-                            watch
-                                    ? list(2, false)
-                                    : heard.getCount() > 0
-                                            ? list(1, true)
-                                            : list(
+                            isWatch
+                                    ? listJson(2, false)
+                                    : agentHasServers.getCount() > 0
+                                            ? listJson(1, true)
+                                            : listJson(
                                                     2,
                                                     true,
                                                     Site.entry(reader, "prefill", "active"),
                                                     Site.entry(writer, "decode", "active")));
                 })) {
-            String known = list(1, true, Site.entry(reader, "prefill", "active"), Site.entry(old, "decode", "active"));
-            try (Node node = node(discovery, known);
-                    Line client = new Line(node.address())) {
+            String knownList = listJson(
+                    1, true, Site.entry(reader, "prefill", "active"), Site.entry(oldWriter, "decode", "active"));
+            try (Node node = node(discovery, knownList);
+                    RawConnection client = new RawConnection(node.address())) {
                 assertEquals(client.send(request("send", 8000)).read().status(), 200);
-                assertEquals(old.attempts(), 1);
-                heard.countDown();
-                await("the agent's list was received", () -> discovery.count(m -> m.path().contains("from=2&")) > 0);
+                assertEquals(oldWriter.attempts(), 1);
+                agentHasServers.countDown();
+                await(
+                        "the agent's list was received",
+                        () -> discovery.count(request -> request.path().contains("from=2&")) > 0);
                 assertEquals(client.send(request("send", 8000)).read().status(), 200);
                 assertEquals(writer.attempts(), 1);
-                assertEquals(old.attempts(), 1);
+                assertEquals(oldWriter.attempts(), 1);
             }
         }
     }
 
     /** A configured list without servers makes no router ready: clients would be sent to it only to be refused. */
     @Test
-    public void nobodyIsReadyByAListWithoutServers() throws Exception {
-        CountDownLatch heard = new CountDownLatch(1);
-        try (StandIn reader = new StandIn(Site::read);
-                StandIn discovery = new StandIn((m, line) -> {
-                    heard.await();
-                    boolean watch = m.path().contains("from=");
-                    Thread.sleep(watch ? 500 : 0);
-                    line.answer(200, watch ? list(2, false) : list(2, true, Site.entry(reader, "prefill", "active")));
+    public void aListWithoutServersMakesNoRouterReady() throws Exception {
+        CountDownLatch agentHasServers = new CountDownLatch(1);
+        try (StandIn reader = new StandIn(Site::answerAsReader);
+                StandIn discovery = new StandIn((request, connection) -> {
+                    agentHasServers.await();
+                    boolean isWatch = request.path().contains("from=");
+                    Thread.sleep(isWatch ? 500 : 0);
+                    connection.respond(
+                            200,
+                            isWatch ? listJson(2, false) : listJson(2, true, Site.entry(reader, "prefill", "active")));
                 });
-                Node node = node(discovery, list(1, true))) {
-            for (long until = System.nanoTime() + Duration.ofMillis(2500).toNanos(); System.nanoTime() < until; ) {
-                assertEquals(health(node), 503);
+                Node node = node(discovery, listJson(1, true))) {
+            for (long untilNs = System.nanoTime() + Duration.ofMillis(2500).toNanos(); System.nanoTime() < untilNs; ) {
+                assertEquals(healthStatus(node), 503);
                 Thread.sleep(50);
             }
-            heard.countDown();
-            await("ready", () -> health(node) == 200);
+            agentHasServers.countDown();
+            await("ready", () -> healthStatus(node) == 200);
         }
     }
 
-    private static int health(Node node) {
-        try (Line line = new Line(node.address())) {
-            return line.send("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n").read().status();
+    private static int healthStatus(Node node) {
+        try (RawConnection connection = new RawConnection(node.address())) {
+            return connection
+                    .send("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
+                    .read()
+                    .status();
         } catch (java.io.IOException e) {
             throw new java.io.UncheckedIOException(e);
         }
     }
 
-    private static Node node(StandIn discovery, String known) throws Exception {
+    private static Node node(StandIn discovery, String knownList) throws Exception {
         return new Node(new Config(
                 "n0",
                 new InetSocketAddress("127.0.0.1", 0),
@@ -149,14 +157,14 @@
                 discovery.address(),
                 7,
                 Site.settings(30),
-                ServerList.parse(known),
+                ServerList.parse(knownList),
                 Duration.ofMillis(250),
                 Duration.ofSeconds(30),
-                Config.Limits.USUAL,
+                Config.Limits.DEFAULT,
                 new Config.Operator(null, null, null, List.of())));
     }
 
-    private static String list(int version, boolean full, String... entries) {
+    private static String listJson(int version, boolean full, String... entries) {
         return "{\"version\":" + version + ",\"full\":" + full + ",\"servers\":[" + String.join(",", entries) + "]}";
     }
 }
--- a/src/test/java/copperbeam/sockets/LeavingServerTest.java
+++ b/src/test/java/copperbeam/sockets/LeavingServerTest.java
@@ -16,13 +16,16 @@
 /** Attempts at a server that the list reports as leaving, gone or moved. */
 public class LeavingServerTest {
     private static Site site(String settings) throws Exception {
-        return new Site(0, 0, 30, null, List.of(), Config.Limits.USUAL, Site.parsed(settings), Duration.ofSeconds(4));
+        return new Site(
+                0, 0, 30, null, List.of(), Config.Limits.DEFAULT, Site.parseSettings(settings), Duration.ofSeconds(4));
     }
 
-    private static void tell(Site site, String entries) throws Exception {
-        long version = site.discovery.seen.size();
-        site.changes.add(entries);
-        await("the list change was received", () -> site.changes.isEmpty() && site.discovery.seen.size() > version);
+    private static void changeList(Site site, String entries) throws Exception {
+        long callsBefore = site.discovery.requests.size();
+        site.listChanges.add(entries);
+        await(
+                "the list change was received",
+                () -> site.listChanges.isEmpty() && site.discovery.requests.size() > callsBefore);
     }
 
     @DataProvider
@@ -32,26 +35,29 @@
 
     /** The drain becomes known while the connection for an attempt is still being established. */
     @Test(dataProvider = "words")
-    public void whatHasNotBegunBeginsNoMore(String word) throws Exception {
-        try (Site site = site(String.format(Site.SETTINGS, "30"));
-                StandIn late = new StandIn(Site::read, 1);
-                StandIn other = new StandIn(Site::read);
-                StandIn writer = new StandIn(Site::write)) {
-            List<Line> queue = new ArrayList<>();
+    public void anUnsentAttemptIsNotSentToALeavingServer(String state) throws Exception {
+        try (Site site = site(String.format(Site.SETTINGS_FORMAT, "30"));
+                StandIn lateReader = new StandIn(Site::answerAsReader, 1);
+                StandIn otherReader = new StandIn(Site::answerAsReader);
+                StandIn writer = new StandIn(Site::answerAsWriter)) {
+            List<RawConnection> queueFillers = new ArrayList<>();
             for (int i = 0; i < 2; i++) {
-                queue.add(new Line(late.address()));
+                queueFillers.add(new RawConnection(lateReader.address()));
             }
-            tell(site, Site.entry(late, "prefill", "active") + "," + Site.entry(writer, "decode", "active"));
-            Line client = site.client().send(request("ask", 8000));
-            await("the connect is under way", () -> site.get("/healthz").status() == 200 && connecting(late));
-            tell(site, Site.entry(late, "prefill", word) + "," + Site.entry(other, "prefill", "active"));
-            late.open();
+            changeList(
+                    site, Site.entry(lateReader, "prefill", "active") + "," + Site.entry(writer, "decode", "active"));
+            RawConnection client = site.client().send(request("ask", 8000));
+            await("the connect is under way", () -> site.get("/healthz").status() == 200 && isConnecting(lateReader));
+            changeList(
+                    site,
+                    Site.entry(lateReader, "prefill", state) + "," + Site.entry(otherReader, "prefill", "active"));
+            lateReader.startAccepting();
             assertEquals(client.read().status(), 200);
-            assertEquals(late.attempts(), 0);
-            assertEquals(other.attempts(), 1);
+            assertEquals(lateReader.attempts(), 0);
+            assertEquals(otherReader.attempts(), 1);
             client.close();
-            for (Line line : queue) {
-                line.close();
+            for (RawConnection connection : queueFillers) {
+                connection.close();
             }
         }
     }
@@ -60,53 +66,57 @@
     @Test
     public void aSilentServerThatHasLeftHoldsNoRequest() throws Exception {
         CountDownLatch never = new CountDownLatch(1);
-        try (Site site = site(String.format(Site.SETTINGS, "30").replace("\"probing\":false", "\"probing\":true"));
-                StandIn silent = new StandIn(attempts((m, line) -> never.await()));
-                StandIn other = new StandIn(Site::read);
-                StandIn writer = new StandIn(Site::write)) {
-            tell(site, Site.entry(silent, "prefill", "active") + "," + Site.entry(writer, "decode", "active"));
-            Line client = site.client().send(request("ask", 9000));
-            await("the silent server has the attempt", () -> silent.attempts() == 1);
-            tell(site, Site.entry(silent, "prefill", "left") + "," + Site.entry(other, "prefill", "active"));
+        try (Site site = site(
+                        String.format(Site.SETTINGS_FORMAT, "30").replace("\"probing\":false", "\"probing\":true"));
+                StandIn silentReader = new StandIn(attempts((request, connection) -> never.await()));
+                StandIn otherReader = new StandIn(Site::answerAsReader);
+                StandIn writer = new StandIn(Site::answerAsWriter)) {
+            changeList(
+                    site, Site.entry(silentReader, "prefill", "active") + "," + Site.entry(writer, "decode", "active"));
+            RawConnection client = site.client().send(request("ask", 9000));
+            await("the silent server has the attempt", () -> silentReader.attempts() == 1);
+            changeList(
+                    site,
+                    Site.entry(silentReader, "prefill", "left") + "," + Site.entry(otherReader, "prefill", "active"));
             assertEquals(client.read().status(), 200);
-            assertEquals(other.attempts(), 1);
+            assertEquals(otherReader.attempts(), 1);
             client.close();
         }
     }
 
     /** A list change gives a server another address while a read is in flight at the old one, which still answers. */
     @Test
-    public void aServerAtANewAddressIsSentToThere() throws Exception {
+    public void aMovedServerGetsRequestsAtItsNewAddress() throws Exception {
         CountDownLatch moved = new CountDownLatch(1);
-        try (Site site = site(String.format(Site.SETTINGS, "30"));
-                StandIn first = new StandIn(attempts((m, line) -> {
+        try (Site site = site(String.format(Site.SETTINGS_FORMAT, "30"));
+                StandIn oldReader = new StandIn(attempts((request, connection) -> {
                     moved.await();
-                    Site.read(m, line);
+                    Site.answerAsReader(request, connection);
                 }));
-                StandIn next = new StandIn(Site::read);
-                StandIn writer = new StandIn(Site::write)) {
-            String entry = Site.entry(first, "prefill", "active");
-            tell(site, entry + "," + Site.entry(writer, "decode", "active"));
-            try (Line client = site.client().send(request("ask", 9000))) {
-                await("the old address has the attempt", () -> first.attempts() == 1);
-                tell(site, entry.replace(first.host(), next.host()));
+                StandIn newReader = new StandIn(Site::answerAsReader);
+                StandIn writer = new StandIn(Site::answerAsWriter)) {
+            String entry = Site.entry(oldReader, "prefill", "active");
+            changeList(site, entry + "," + Site.entry(writer, "decode", "active"));
+            try (RawConnection client = site.client().send(request("ask", 9000))) {
+                await("the old address has the attempt", () -> oldReader.attempts() == 1);
+                changeList(site, entry.replace(oldReader.hostAndPort(), newReader.hostAndPort()));
                 moved.countDown();
                 assertEquals(client.read().status(), 200);
                 assertEquals(client.send(request("ask", 9000)).read().status(), 200);
             }
-            assertEquals(first.attempts(), 1);
-            assertEquals(next.attempts(), 1);
+            assertEquals(oldReader.attempts(), 1);
+            assertEquals(newReader.attempts(), 1);
         }
     }
 
     /** Whether a connect to the server is pending: the kernel lists a socket to its port in state SYN_SENT. */
-    private static boolean connecting(StandIn to) {
+    private static boolean isConnecting(StandIn server) {
         try {
-            String sent = String.format(
-                    ".*:[0-9A-F]{4} [0-9A-F]+:%04X 02 .*", to.address().getPort());
+            String synSentRow = String.format(
+                    ".*:[0-9A-F]{4} [0-9A-F]+:%04X 02 .*", server.address().getPort());
             for (String table : List.of("/proc/net/tcp", "/proc/net/tcp6")) {
                 if (java.nio.file.Files.readAllLines(java.nio.file.Path.of(table)).stream()
-                        .anyMatch(l -> l.matches(sent))) {
+                        .anyMatch(l -> l.matches(synSentRow))) {
                     return true;
                 }
             }
--- a/src/test/java/copperbeam/sockets/LimitsTest.java
+++ b/src/test/java/copperbeam/sockets/LimitsTest.java
@@ -16,8 +16,8 @@
 
 /** The program under the limit of file descriptors that its configuration states. */
 public class LimitsTest {
-    private static Line.Message ask(Conductor conductor) {
-        try (Line client = new Line(conductor.address)) {
+    private static RawConnection.Message sendRequest(Conductor conductor) {
+        try (RawConnection client = new RawConnection(conductor.address)) {
             return client.send(request("send", 5000)).read();
         } catch (IOException e) {
             throw new AssertionError(e);
@@ -26,37 +26,39 @@
 
     /** Guards against a listener that stops for good after an accept has failed. */
     @Test
-    public void aStormOfConnectionsIsOutlived() throws Exception {
-        try (StandIn reader = new StandIn(Site::read);
-                StandIn writer = new StandIn(Site::write);
+    public void listeningSurvivesAStormOfConnections() throws Exception {
+        try (StandIn reader = new StandIn(Site::answerAsReader);
+                StandIn writer = new StandIn(Site::answerAsWriter);
                 StandIn discovery = Conductor.discovery(reader, writer);
                 Conductor conductor = new Conductor(discovery, 256, 64)) {
             conductor.awaitHealthy();
-            List<Line> storm = new ArrayList<>();
+            List<RawConnection> storm = new ArrayList<>();
             for (int i = 0; i < 600; i++) {
                 try {
-                    storm.add(new Line(conductor.address));
+                    storm.add(new RawConnection(conductor.address));
                 } catch (IOException e) {
                     // refused for the moment
                 }
             }
-            long until = System.nanoTime() + Line.PATIENCE_MS * 1_000_000L;
-            await("healthy again", conductor::healthy);
+            long deadlineNs = System.nanoTime() + RawConnection.TIMEOUT_MS * 1_000_000L;
+            await("healthy again", conductor::isHealthy);
             // beside the open connections room is short, so that single requests may be refused; others are served soon
             for (int served = 0; served < 5; ) {
-                Line.Message answer = ask(conductor);
+                RawConnection.Message answer = sendRequest(conductor);
                 served += answer.status() == 200 ? 1 : 0;
                 assertTrue(
                         answer.status() == 200 || answer.status() == 503 && answer.header("Retry-After") != null,
                         answer.text());
-                assertTrue(System.nanoTime() < until, "served " + served);
+                assertTrue(System.nanoTime() < deadlineNs, "served " + served);
             }
-            for (Line line : storm) {
-                line.close();
+            for (RawConnection connection : storm) {
+                connection.close();
             }
-            await("served after the connections are closed", () -> ask(conductor).status() == 200);
+            await(
+                    "served after the connections are closed",
+                    () -> sendRequest(conductor).status() == 200);
             for (int i = 0; i < 5; i++) {
-                assertEquals(ask(conductor).status(), 200);
+                assertEquals(sendRequest(conductor).status(), 200);
             }
             assertTrue(conductor.process.isAlive());
         }
@@ -78,66 +80,67 @@
      */
     @Test(dataProvider = "bursts")
     public void aBurstLeavesDescriptorsForAllElse(int limit, int clients, boolean atOnce) throws Exception {
-        AtomicInteger slow = new AtomicInteger(1500);
-        StandIn.Script read = Site.attempts((m, line) -> {
-            Thread.sleep(slow.get());
-            Site.read(m, line);
+        AtomicInteger readDelayMs = new AtomicInteger(1500);
+        StandIn.Script slowRead = Site.attempts((request, connection) -> {
+            Thread.sleep(readDelayMs.get());
+            Site.answerAsReader(request, connection);
         });
-        try (StandIn reader = new StandIn(read);
-                StandIn writer = new StandIn(Site::write);
-                StandIn other = new StandIn(Site::write);
-                StandIn discovery = Conductor.discovery(reader, writer, other);
+        try (StandIn reader = new StandIn(slowRead);
+                StandIn writer = new StandIn(Site::answerAsWriter);
+                StandIn leavingWriter = new StandIn(Site::answerAsWriter);
+                StandIn discovery = Conductor.discovery(reader, writer, leavingWriter);
                 Conductor conductor = new Conductor(discovery, 1024, 64, List.of(), "ulimit -n " + limit)) {
-            await("healthy", conductor::healthy);
-            StandIn.Script there = discovery.script;
-            discovery.script = (m, line) -> {
+            await("healthy", conductor::isHealthy);
+            StandIn.Script normalDiscovery = discovery.script;
+            discovery.script = (request, connection) -> {
                 throw new IOException("discovery is down");
             };
-            for (Line line : discovery.lines) {
-                line.close();
+            for (RawConnection connection : discovery.connections) {
+                connection.close();
             }
-            List<Line> burst = new ArrayList<>();
+            List<RawConnection> burst = new ArrayList<>();
             for (int i = 0; i < clients; i++) {
-                burst.add(new Line(conductor.address));
+                burst.add(new RawConnection(conductor.address));
                 if (atOnce) {
                     burst.get(i).send(request("ask", 4000));
                 }
             }
-            for (Line line : atOnce ? List.<Line>of() : burst) {
-                line.send(request("ask", 4000));
+            for (RawConnection connection : atOnce ? List.<RawConnection>of() : burst) {
+                connection.send(request("ask", 4000));
             }
-            assertTrue(conductor.healthy());
-            for (Line line : burst) {
-                assertTrue(Set.of(200, 429, 502, 503, 504).contains(line.read().status()));
+            assertTrue(conductor.isHealthy());
+            for (RawConnection connection : burst) {
+                assertTrue(Set.of(200, 429, 502, 503, 504)
+                        .contains(connection.read().status()));
             }
-            slow.set(0);
-            AtomicInteger told = new AtomicInteger();
-            discovery.script = (m, line) -> {
-                if (m.path().contains("from=")) {
-                    told.incrementAndGet();
-                    line.answer(
+            readDelayMs.set(0);
+            AtomicInteger watchCalls = new AtomicInteger();
+            discovery.script = (request, connection) -> {
+                if (request.path().contains("from=")) {
+                    watchCalls.incrementAndGet();
+                    connection.respond(
                             200,
-                            "{\"version\":8,\"full\":false,\"servers\":[" + Site.entry(other, "decode", "leaving")
-                                    + "]}");
+                            "{\"version\":8,\"full\":false,\"servers\":["
+                                    + Site.entry(leavingWriter, "decode", "leaving") + "]}");
                 } else {
-                    there.run(m, line);
+                    normalDiscovery.run(request, connection);
                 }
             };
-            await("discovery is asked again, then from the new version on", () -> told.get() > 1);
-            discovery.script = there;
-            long before = other.attempts();
+            await("discovery is asked again, then from the new version on", () -> watchCalls.get() > 1);
+            discovery.script = normalDiscovery;
+            long before = leavingWriter.attempts();
             await(
                     "served",
                     () -> { // a few may still be refused, as the servers were slow
-                        try (Line client = new Line(conductor.address)) {
+                        try (RawConnection client = new RawConnection(conductor.address)) {
                             return client.send(request("send", 5000)).read().status() == 200;
                         } catch (IOException e) {
                             throw new UncheckedIOException(e);
                         }
                     });
-            assertEquals(other.attempts(), before);
-            for (Line line : burst) {
-                line.close();
+            assertEquals(leavingWriter.attempts(), before);
+            for (RawConnection connection : burst) {
+                connection.close();
             }
         }
     }
--- a/src/test/java/copperbeam/sockets/MovedListTest.java
+++ b/src/test/java/copperbeam/sockets/MovedListTest.java
@@ -10,7 +10,7 @@
 
 /** SIGHUP changes the address of the server list while servers drain. */
 public class MovedListTest {
-    private static String list(long version, boolean full, String... entries) {
+    private static String listJson(long version, boolean full, String... entries) {
         return "{\"version\":" + version + ",\"full\":" + full + ",\"servers\":[" + String.join(",", entries) + "]}";
     }
 
@@ -21,93 +21,101 @@
     @Test
     public void aDrainIsKeptThroughAMove() throws Exception {
         CountDownLatch moved = new CountDownLatch(1);
-        try (StandIn reader = new StandIn(Site::read);
-                StandIn drains = new StandIn(Site::write);
-                StandIn stays = new StandIn(Site::write);
-                StandIn first = new StandIn((m, line) -> {
-                    if (!m.path().contains("from=")) {
-                        line.answer(
+        try (StandIn reader = new StandIn(Site::answerAsReader);
+                StandIn drainingWriter = new StandIn(Site::answerAsWriter);
+                StandIn stayingWriter = new StandIn(Site::answerAsWriter);
+                StandIn oldAgent = new StandIn((request, connection) -> {
+                    if (!request.path().contains("from=")) {
+                        connection.respond(
                                 200,
-                                list(
+                                listJson(
                                         7,
                                         true,
                                         Site.entry(reader, "prefill", "active"),
-                                        Site.entry(drains, "decode", "active")));
-                    } else if (m.path().contains("from=7&")) {
+                                        Site.entry(drainingWriter, "decode", "active")));
+                    } else if (request.path().contains("from=7&")) {
                         moved.await(); // answered only after the address has changed
-                        line.answer(200, list(8, false, Site.entry(drains, "decode", "leaving")));
+                        connection.respond(200, listJson(8, false, Site.entry(drainingWriter, "decode", "leaving")));
                     } else {
-                        line.close();
+                        connection.close();
                     }
                 });
-                StandIn second = new StandIn((m, line) -> {
-                    boolean watch = m.path().contains("from=");
-                    if (watch) {
+                StandIn newAgent = new StandIn((request, connection) -> {
+                    boolean isWatch = request.path().contains("from=");
+                    if (isWatch) {
                         Thread.sleep(500);
                     }
-                    line.answer(
+                    connection.respond(
                             200,
-                            watch
-                                    ? list(7, false)
-                                    : list(
+                            isWatch
+                                    ? listJson(7, false)
+                                    : listJson(
                                             7,
                                             true,
                                             Site.entry(reader, "prefill", "active"),
-                                            Site.entry(drains, "decode", "active"),
-                                            Site.entry(stays, "decode", "active")));
+                                            Site.entry(drainingWriter, "decode", "active"),
+                                            Site.entry(stayingWriter, "decode", "active")));
                 });
-                Conductor conductor = new Conductor(first, 1024, 192)) {
+                Conductor conductor = new Conductor(oldAgent, 1024, 192)) {
             conductor.awaitHealthy();
-            await("the old address is watched", () -> first.count(m -> m.path().contains("from=7&")) > 0);
-            conductor.configure(second.host());
+            await(
+                    "the old address is watched",
+                    () -> oldAgent.count(request -> request.path().contains("from=7&")) > 0);
+            conductor.configure(newAgent.hostAndPort());
             conductor.signal("HUP");
-            await("asked at the new address", () -> second.count(m -> m.path().contains("from=7&")) > 0);
+            await(
+                    "asked at the new address",
+                    () -> newAgent.count(request -> request.path().contains("from=7&")) > 0);
             moved.countDown();
-            await("the drain was received", () -> first.count(m -> m.path().contains("from=8&")) > 0);
-            try (Line client = new Line(conductor.address)) {
+            await(
+                    "the drain was received",
+                    () -> oldAgent.count(request -> request.path().contains("from=8&")) > 0);
+            try (RawConnection client = new RawConnection(conductor.address)) {
                 for (int i = 0; i < 20; i++) {
                     assertEquals(client.send(request("ask", 5000)).read().status(), 200);
                 }
             }
-            assertEquals(drains.attempts(), 0);
-            assertEquals(stays.attempts(), 20);
+            assertEquals(drainingWriter.attempts(), 0);
+            assertEquals(stayingWriter.attempts(), 20);
         }
     }
 
     /** Guards against a new address that accepts connections but never answers on the first of them. */
     @Test
     public void aSilentConnectionHidesNoList() throws Exception {
-        try (StandIn reader = new StandIn(Site::read);
-                StandIn old = new StandIn(Site::write);
-                StandIn next = new StandIn(Site::write);
-                StandIn first = Conductor.discovery(reader, old)) {
-            StandIn list = Conductor.discovery(reader, next);
-            StandIn.Script whole = list.script;
-            AtomicBoolean givenUp = new AtomicBoolean();
-            AtomicBoolean beside = new AtomicBoolean();
-            list.script = (m, line) -> {
-                if (list.seen.size() > 1) {
-                    beside.compareAndSet(false, !givenUp.get());
-                    whole.run(m, line);
+        try (StandIn reader = new StandIn(Site::answerAsReader);
+                StandIn oldWriter = new StandIn(Site::answerAsWriter);
+                StandIn newWriter = new StandIn(Site::answerAsWriter);
+                StandIn oldAgent = Conductor.discovery(reader, oldWriter)) {
+            StandIn newAgent = Conductor.discovery(reader, newWriter);
+            StandIn.Script normalScript = newAgent.script;
+            AtomicBoolean firstCallEnded = new AtomicBoolean();
+            AtomicBoolean calledDuringFirst = new AtomicBoolean();
+            newAgent.script = (request, connection) -> {
+                if (newAgent.requests.size() > 1) {
+                    calledDuringFirst.compareAndSet(false, !firstCallEnded.get());
+                    normalScript.run(request, connection);
                 } else {
                     try {
-                        line.read();
+                        connection.read();
                     } finally {
-                        givenUp.set(true); // the call has ended, answered or not
+                        firstCallEnded.set(true); // the call has ended, answered or not
                     }
                 }
             };
-            try (list;
-                    Conductor conductor = new Conductor(first, 1024, 192)) {
+            try (newAgent;
+                    Conductor conductor = new Conductor(oldAgent, 1024, 192)) {
                 conductor.awaitHealthy();
-                conductor.configure(list.host());
+                conductor.configure(newAgent.hostAndPort());
                 conductor.signal("HUP");
-                await("called again during the silent call", beside::get);
-                await("the new address is watched", () -> list.count(m -> m.path().contains("from=7&")) > 0);
-                try (Line client = new Line(conductor.address)) {
+                await("called again during the silent call", calledDuringFirst::get);
+                await(
+                        "the new address is watched",
+                        () -> newAgent.count(request -> request.path().contains("from=7&")) > 0);
+                try (RawConnection client = new RawConnection(conductor.address)) {
                     assertEquals(client.send(request("ask", 5000)).read().status(), 200);
                 }
-                assertEquals(next.attempts(), 1);
+                assertEquals(newWriter.attempts(), 1);
             }
         }
     }
--- a/src/test/java/copperbeam/sockets/NoLookUpTest.java
+++ b/src/test/java/copperbeam/sockets/NoLookUpTest.java
@@ -21,74 +21,74 @@
  * these tests detect a look-up.
  */
 public class NoLookUpTest {
-    private static InetSocketAddress nameless(StandIn server) throws Exception {
+    private static InetSocketAddress addressWithoutName(StandIn server) throws Exception {
         return new InetSocketAddress(
                 InetAddress.getByAddress(new byte[] {127, 0, 0, 1}),
                 server.address().getPort());
     }
 
     @Test
-    public void noNameIsAskedForWhenDiscoveryIsCalled() throws Exception {
-        try (StandIn server = new StandIn((m, line) -> line.answer(200, "{}"));
+    public void noNameIsLookedUpWhenDiscoveryIsCalled() throws Exception {
+        try (StandIn server = new StandIn((request, connection) -> connection.respond(200, "{}"));
                 ClientReactor reactor = new ClientReactor()) {
-            InetSocketAddress at = nameless(server);
+            InetSocketAddress address = addressWithoutName(server);
             CountDownLatch answered = new CountDownLatch(1);
             new PlainHttpClient(reactor)
-                    .whole(
-                            at,
+                    .fetch(
+                            address,
                             "GET",
                             "/v1/servers",
                             null,
-                            new HttpClient.Patience(Duration.ofSeconds(5), Duration.ofSeconds(5)),
+                            new HttpClient.Timeouts(Duration.ofSeconds(5), Duration.ofSeconds(5)),
                             9,
                             a -> answered.countDown());
             await("answered", () -> answered.getCount() == 0);
-            assertEquals(at.getAddress().toString(), "/127.0.0.1");
+            assertEquals(address.getAddress().toString(), "/127.0.0.1");
         }
     }
 
     @Test
-    public void noNameIsAskedForWhenAServerIsCalled() throws Exception {
-        try (StandIn server = new StandIn((m, line) -> line.answer(200, ""));
+    public void noNameIsLookedUpWhenAServerIsCalled() throws Exception {
+        try (StandIn server = new StandIn((request, connection) -> connection.respond(200, ""));
                 ClientReactor reactor = new ClientReactor()) {
-            InetSocketAddress at = nameless(server);
-            CountDownLatch heard = new CountDownLatch(1);
-            new ServerConnector(reactor).connect(at, Duration.ofSeconds(5), new Connector.Watcher() {
+            InetSocketAddress address = addressWithoutName(server);
+            CountDownLatch answered = new CountDownLatch(1);
+            new ServerConnector(reactor).connect(address, Duration.ofSeconds(5), new Connector.ConnectionListener() {
                 @Override
-                public void up(Connector.Connection connection) {
-                    connection.call(new Connector.ProbeCall(), new Heard(heard));
+                public void connected(Connector.Connection connection) {
+                    connection.call(new Connector.ProbeCall(), new AnswerListener(answered));
                 }
 
                 @Override
-                public void failed() {}
+                public void connectFailed() {}
 
                 @Override
                 public void closed(Connector.Connection connection) {}
             });
-            await("the probe is answered", () -> heard.getCount() == 0);
-            assertEquals(at.getAddress().toString(), "/127.0.0.1");
+            await("the probe is answered", () -> answered.getCount() == 0);
+            assertEquals(address.getAddress().toString(), "/127.0.0.1");
         }
     }
 
-    private record Heard(CountDownLatch heard) implements Connector.Listener {
+    private record AnswerListener(CountDownLatch answered) implements Connector.CallListener {
         @Override
         public void sent() {}
 
         @Override
-        public void held() {}
+        public void lastByteHeld() {}
 
         @Override
-        public void word(Connector.Word word, Report report) {
-            heard.countDown();
+        public void answerClassified(Connector.AnswerKind kind, Report report) {
+            answered.countDown();
         }
 
         @Override
         public void event(byte[] raw) {}
 
         @Override
-        public void end(boolean reusable, double kept) {}
+        public void end(boolean reusable, double keptTokens) {}
 
         @Override
-        public void broken(boolean written) {}
+        public void broken(boolean lastByteMayHaveLeft) {}
     }
 }
