--- a/src/test/java/copperbeam/sockets/OpenAiFrontTest.java
+++ b/src/test/java/copperbeam/sockets/OpenAiFrontTest.java
@@ -2,8 +2,8 @@
 
 import static copperbeam.sockets.Site.attempts;
 import static copperbeam.sockets.Site.await;
-import static copperbeam.sockets.Site.chat;
-import static copperbeam.sockets.Site.post;
+import static copperbeam.sockets.Site.chatRequest;
+import static copperbeam.sockets.Site.postRequest;
 import static copperbeam.sockets.Site.request;
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
@@ -26,11 +26,11 @@
 
 /** The chat API on real sockets, on the same core as the platform's protocol. */
 public class OpenAiFrontTest {
-    private static JsonObject json(String text) {
+    private static JsonObject parseObject(String text) {
         return JsonParser.parseString(text).getAsJsonObject();
     }
 
-    private static List<String> data(String text) {
+    private static List<String> eventData(String text) {
         List<String> data = new ArrayList<>();
         for (String event : text.split("\n\n")) {
             data.add(event.substring("data: ".length()));
@@ -41,41 +41,43 @@
     @Test
     public void streamsChunksInTheApisForm() throws Exception {
         try (Site site = new Site(1, 1);
-                Line client = site.chatClient()) {
-            Line.Message answer = client.send(chat("m-ask", true, "")).read();
+                RawConnection client = site.chatClient()) {
+            RawConnection.Message answer =
+                    client.send(chatRequest("m-ask", true, "")).read();
             assertEquals(answer.status(), 200);
             assertEquals(answer.header("Content-Type"), "text/event-stream");
-            List<String> data = data(answer.text());
+            List<String> data = eventData(answer.text());
             assertEquals(data.size(), 3); // usage was not asked for
             assertEquals(data.get(2), "[DONE]");
-            JsonObject first = json(data.get(0));
+            JsonObject first = parseObject(data.get(0));
             assertEquals(first.get("object").getAsString(), "chat.completion.chunk");
             assertEquals(first.get("model").getAsString(), "m-ask");
             JsonObject delta =
                     first.getAsJsonArray("choices").get(0).getAsJsonObject().getAsJsonObject("delta");
             assertEquals(delta.get("role").getAsString(), "assistant");
             assertEquals(delta.get("content").getAsString(), "ab");
-            assertEquals(json(data.get(1)).get("id"), first.get("id"));
+            assertEquals(parseObject(data.get(1)).get("id"), first.get("id"));
 
-            Line.Message usage = client.send(chat("m-ask", true, ",\"stream_options\":{\"include_usage\":true}"))
+            RawConnection.Message usage = client.send(
+                            chatRequest("m-ask", true, ",\"stream_options\":{\"include_usage\":true}"))
                     .read();
-            assertEquals(data(usage.text()).size(), 4);
-            assertNotEquals(json(data(usage.text()).get(0)).get("id"), first.get("id"));
+            assertEquals(eventData(usage.text()).size(), 4);
+            assertNotEquals(parseObject(eventData(usage.text()).get(0)).get("id"), first.get("id"));
 
-            Line.Message passed = site.readers.get(0).seen.get(0);
-            assertEquals(passed.header("X-Priority-Class"), "ask");
-            assertTrue(passed.header("X-Attrs").endsWith(",prompt_len=3,prefix_len=2,max_out=100"));
+            RawConnection.Message forwarded = site.readers.get(0).requests.get(0);
+            assertEquals(forwarded.header("X-Priority-Class"), "ask");
+            assertTrue(forwarded.header("X-Attrs").endsWith(",prompt_len=3,prefix_len=2,max_out=100"));
             assertEquals(
-                    passed.header("X-Route-Key"),
-                    site.readers.get(0).seen.get(1).header("X-Route-Key"));
+                    forwarded.header("X-Route-Key"),
+                    site.readers.get(0).requests.get(1).header("X-Route-Key"));
         }
     }
 
     @Test
     public void gathersACompletion() throws Exception {
         try (Site site = new Site(1, 1);
-                Line client = site.chatClient()) {
-            JsonObject answer = json(client.send(chat("m-send", false, ",\"max_tokens\":7"))
+                RawConnection client = site.chatClient()) {
+            JsonObject answer = parseObject(client.send(chatRequest("m-send", false, ",\"max_tokens\":7"))
                     .read()
                     .text());
             assertEquals(answer.get("object").getAsString(), "chat.completion");
@@ -84,51 +86,54 @@
             assertEquals(choice.get("finish_reason").getAsString(), "stop");
             assertEquals(
                     answer.getAsJsonObject("usage").get("completion_tokens").getAsInt(), 2);
-            Line.Message passed = site.writers.get(0).seen.get(0);
-            assertTrue(json(passed.text()).get("stream").getAsBoolean());
-            assertTrue(passed.header("X-Attrs").endsWith("max_out=7"));
+            RawConnection.Message forwarded = site.writers.get(0).requests.get(0);
+            assertTrue(parseObject(forwarded.text()).get("stream").getAsBoolean());
+            assertTrue(forwarded.header("X-Attrs").endsWith("max_out=7"));
         }
     }
 
     @Test
     public void listsModels() throws Exception {
         try (Site site = new Site(1, 1);
-                Line client = site.chatClient()) {
-            JsonObject list = json(client.send("GET /v1/models HTTP/1.1\r\nHost: x\r\n\r\n")
+                RawConnection client = site.chatClient()) {
+            JsonObject list = parseObject(client.send("GET /v1/models HTTP/1.1\r\nHost: x\r\n\r\n")
                     .read()
                     .text());
             assertEquals(list.getAsJsonArray("data").size(), 2);
-            JsonObject one = json(client.send("GET /v1/models/m-ask HTTP/1.1\r\nHost: x\r\n\r\n")
+            JsonObject model = parseObject(client.send("GET /v1/models/m-ask HTTP/1.1\r\nHost: x\r\n\r\n")
                     .read()
                     .text());
-            assertEquals(one.get("id").getAsString(), "m-ask");
+            assertEquals(model.get("id").getAsString(), "m-ask");
         }
     }
 
     @DataProvider
     public Object[][] faulty() {
         return new Object[][] {
-            {post("{"), 400, null},
-            {post("{\"model\":\"m-ask\"}"), 400, "messages"},
-            {post("{\"model\":\"m-ask\",\"messages\":[]}"), 400, "messages"},
-            {post("{\"messages\":[{\"role\":\"user\",\"content\":\"x\"}]}"), 400, "model"},
-            {post("{\"model\":\"m-ask\",\"messages\":[{\"role\":\"user\",\"content\":5}]}"), 400, "messages[0].content"
+            {postRequest("{"), 400, null},
+            {postRequest("{\"model\":\"m-ask\"}"), 400, "messages"},
+            {postRequest("{\"model\":\"m-ask\",\"messages\":[]}"), 400, "messages"},
+            {postRequest("{\"messages\":[{\"role\":\"user\",\"content\":\"x\"}]}"), 400, "model"},
+            {
+                postRequest("{\"model\":\"m-ask\",\"messages\":[{\"role\":\"user\",\"content\":5}]}"),
+                400,
+                "messages[0].content"
             },
-            {chat("m-ask", true, ",\"n\":2"), 400, "n"},
-            {chat("m-ask", true, ",\"max_tokens\":-1"), 400, "max_tokens"},
-            {chat("m-none", true, ""), 404, "model"},
+            {chatRequest("m-ask", true, ",\"n\":2"), 400, "n"},
+            {chatRequest("m-ask", true, ",\"max_tokens\":-1"), 400, "max_tokens"},
+            {chatRequest("m-none", true, ""), 404, "model"},
             {"GET /v1/models/m-none HTTP/1.1\r\nHost: x\r\n\r\n", 404, "model"},
             {"GET /v1/nothing HTTP/1.1\r\nHost: x\r\n\r\n", 404, null},
         };
     }
 
     @Test(dataProvider = "faulty")
-    public void faultsAreTheApisErrorObjects(String text, int status, String param) throws Exception {
+    public void errorsHaveTheApisErrorObject(String text, int status, String param) throws Exception {
         try (Site site = new Site(1, 1);
-                Line client = site.chatClient()) {
-            Line.Message answer = client.send(text).read();
+                RawConnection client = site.chatClient()) {
+            RawConnection.Message answer = client.send(text).read();
             assertEquals(answer.status(), status);
-            JsonObject error = json(answer.text()).getAsJsonObject("error");
+            JsonObject error = parseObject(answer.text()).getAsJsonObject("error");
             assertEquals(error.get("type").getAsString(), "invalid_request_error");
             assertEquals(
                     error.get("param").isJsonNull() ? null : error.get("param").getAsString(), param);
@@ -139,13 +144,21 @@
     @Test
     public void aTimeOutIs504AndARefusalCarriesRetryAfter() throws Exception {
         try (Site site = new Site(1, 1);
-                Line client = site.chatClient()) {
-            site.writers.get(0).script = attempts((m, line) -> {});
-            Line.Message late = client.send(chat("m-send", true, "")).read();
+                RawConnection client = site.chatClient()) {
+            site.writers.get(0).script = attempts((message, connection) -> {});
+            RawConnection.Message late =
+                    client.send(chatRequest("m-send", true, "")).read();
             assertEquals(late.status(), 504);
-            assertEquals(json(late.text()).getAsJsonObject("error").get("code").getAsString(), "timeout");
-            site.readers.get(0).script = attempts((m, line) -> line.answer(503, "", "X-Not-Processed: 1\r\n"));
-            Line.Message refused = client.send(chat("m-send", true, "")).read();
+            assertEquals(
+                    parseObject(late.text())
+                            .getAsJsonObject("error")
+                            .get("code")
+                            .getAsString(),
+                    "timeout");
+            site.readers.get(0).script =
+                    attempts((message, connection) -> connection.respond(503, "", "X-Not-Processed: 1\r\n"));
+            RawConnection.Message refused =
+                    client.send(chatRequest("m-send", true, "")).read();
             assertEquals(refused.status(), 503);
             assertEquals(refused.header("Retry-After"), "1");
         }
@@ -154,21 +167,23 @@
     @Test
     public void aClientThatLeavesBetweenTwoEventsOfASendEndsItOnce() throws Exception {
         try (Site site = new Site(2, 2)) {
-            site.writers.forEach(w -> w.script = attempts((m, line) ->
-                    line.beginStream().chunk("data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"a\"}}]}\n\n")));
-            try (Line client = site.chatClient()) {
-                client.send(chat("m-send", true, "")).head();
+            site.writers.forEach(writer -> writer.script = attempts((message, connection) -> connection
+                    .beginStream()
+                    .sendChunk("data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"a\"}}]}\n\n")));
+            try (RawConnection client = site.chatClient()) {
+                client.send(chatRequest("m-send", true, "")).readHead();
                 assertTrue(client.readChunk().contains("\"a\""));
             }
-            StandIn ran = site.writers.stream()
-                    .filter(w -> w.attempts() > 0)
+            StandIn usedWriter = site.writers.stream()
+                    .filter(writer -> writer.attempts() > 0)
                     .findFirst()
                     .orElseThrow();
-            await("closed", () -> ran.lines.get(0).ended);
+            await("closed", () -> usedWriter.connections.get(0).closedByStandIn);
             // the next request is served, and the first was not retried
-            site.writers.forEach(w -> w.script = Site::write);
-            try (Line client = site.chatClient()) {
-                assertEquals(client.send(chat("m-send", false, "")).read().status(), 200);
+            site.writers.forEach(writer -> writer.script = Site::answerAsWriter);
+            try (RawConnection client = site.chatClient()) {
+                assertEquals(
+                        client.send(chatRequest("m-send", false, "")).read().status(), 200);
             }
             assertEquals(site.attempts(site.writers), 2);
         }
@@ -177,15 +192,22 @@
     @Test
     public void aMalformedEventEndsTheStreamAsBroken() throws Exception {
         try (Site site = new Site(1, 2);
-                Line client = site.chatClient()) {
-            site.writers.forEach(w -> w.script = attempts((m, line) -> line.beginStream()
-                    .chunk("data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"a\"}}]}\n\n")
-                    .chunk("data: {\"choices\":[{\n\n")));
-            Line.Message answer = client.send(chat("m-send", true, "")).read();
-            assertFalse(answer.whole());
-            List<String> data = data(answer.text());
+                RawConnection client = site.chatClient()) {
+            site.writers.forEach(writer -> writer.script = attempts((message, connection) -> connection
+                    .beginStream()
+                    .sendChunk("data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"a\"}}]}\n\n")
+                    .sendChunk("data: {\"choices\":[{\n\n")));
+            RawConnection.Message answer =
+                    client.send(chatRequest("m-send", true, "")).read();
+            assertFalse(answer.complete());
+            List<String> data = eventData(answer.text());
             assertEquals(data.size(), 2);
-            assertEquals(json(data.get(1)).getAsJsonObject("error").get("code").getAsString(), "stream_broken");
+            assertEquals(
+                    parseObject(data.get(1))
+                            .getAsJsonObject("error")
+                            .get("code")
+                            .getAsString(),
+                    "stream_broken");
             assertEquals(site.attempts(site.writers), 1);
         }
     }
@@ -196,39 +218,41 @@
      * none is refused on a slow core.
      */
     @Test
-    public void bothDialectsAreServedAlike() throws Exception {
-        Api.Settings patient = Site.parsed(
-                String.format(Site.SETTINGS, "30").replaceAll("\"promise_s\":[0-9.]+", "\"promise_s\":1000"));
+    public void bothApisAreServedAlike() throws Exception {
+        Api.Settings settings = Site.parseSettings(
+                String.format(Site.SETTINGS_FORMAT, "30").replaceAll("\"promise_s\":[0-9.]+", "\"promise_s\":1000"));
         for (boolean openAi : new boolean[] {false, true}) {
-            AtomicInteger asked = new AtomicInteger();
+            AtomicInteger requestIndex = new AtomicInteger();
             Set<Integer> failed = ConcurrentHashMap.newKeySet();
-            try (Site site = new Site(2, 2, 30, null, List.of(), Config.Limits.USUAL, patient, Duration.ofSeconds(2))) {
-                site.writers.forEach(w -> w.script = attempts((m, line) -> {
-                    int i = asked.get();
+            try (Site site =
+                    new Site(2, 2, 30, null, List.of(), Config.Limits.DEFAULT, settings, Duration.ofSeconds(2))) {
+                site.writers.forEach(writer -> writer.script = attempts((message, connection) -> {
+                    int i = requestIndex.get();
                     if (i % 5 == 4 && failed.add(i)) {
-                        line.reset();
+                        connection.reset();
                     } else {
-                        Site.write(m, line);
+                        Site.answerAsWriter(message, connection);
                     }
                 }));
                 for (int i = 0; i < 40; i++) {
-                    asked.set(i);
-                    boolean send = i % 3 == 0;
-                    try (Line client = openAi ? site.chatClient() : site.client()) {
+                    requestIndex.set(i);
+                    boolean isUnsafe = i % 3 == 0;
+                    try (RawConnection client = openAi ? site.chatClient() : site.client()) {
                         client.send(
                                 openAi
-                                        ? chat(send ? "m-send" : "m-ask", true, "")
-                                        : request(send ? "send" : "ask", 2000));
-                        assertEquals(client.read().status(), send && i % 5 == 4 ? 502 : 200, openAi + ", request " + i);
+                                        ? chatRequest(isUnsafe ? "m-send" : "m-ask", true, "")
+                                        : request(isUnsafe ? "send" : "ask", 2000));
+                        assertEquals(
+                                client.read().status(), isUnsafe && i % 5 == 4 ? 502 : 200, openAi + ", request " + i);
                     }
                 }
                 assertEquals(failed.size(), 8);
                 Set<String> sends = new HashSet<>();
                 for (StandIn writer : site.writers) {
-                    for (Line.Message m : writer.seen) {
-                        if (m.method().equals("POST")
-                                && m.header("X-Priority-Class").equals("send")) {
-                            assertTrue(sends.add(m.header("X-Request-ID")), "an unsafe request ran twice");
+                    for (RawConnection.Message message : writer.requests) {
+                        if (message.method().equals("POST")
+                                && message.header("X-Priority-Class").equals("send")) {
+                            assertTrue(sends.add(message.header("X-Request-ID")), "an unsafe request ran twice");
                         }
                     }
                 }
--- a/src/test/java/copperbeam/sockets/OperatorsTest.java
+++ b/src/test/java/copperbeam/sockets/OperatorsTest.java
@@ -20,10 +20,10 @@
 
 /** The operators' interface and the effects of its calls, on real sockets. */
 public class OperatorsTest {
-    static String call(java.net.InetSocketAddress door, String line) {
-        try (Socket socket = new Socket(door.getAddress(), door.getPort())) {
-            socket.setSoTimeout(Line.PATIENCE_MS);
-            for (byte b : (line + "\n").getBytes(StandardCharsets.US_ASCII)) {
+    static String call(java.net.InetSocketAddress adminAddress, String command) {
+        try (Socket socket = new Socket(adminAddress.getAddress(), adminAddress.getPort())) {
+            socket.setSoTimeout(RawConnection.TIMEOUT_MS);
+            for (byte b : (command + "\n").getBytes(StandardCharsets.US_ASCII)) {
                 socket.getOutputStream().write(b); // one write for each byte: a command may arrive in pieces
             }
             return new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
@@ -32,14 +32,14 @@
         }
     }
 
-    private static String call(Site site, String line) {
-        return call(site.node.door(), line);
+    private static String call(Site site, String command) {
+        return call(site.node.adminAddress(), command);
     }
 
     /** The counters and gauges of an INFO answer by name, without the prefix "app.". */
-    static Map<String, Long> metrics(java.net.InetSocketAddress door) {
+    static Map<String, Long> metrics(java.net.InetSocketAddress adminAddress) {
         Map<String, Long> metrics = new TreeMap<>();
-        String text = call(door, "INFO");
+        String text = call(adminAddress, "INFO");
         assertTrue(text.startsWith("ACK\n") && text.endsWith("\n--\n"), text);
         for (String line : text.split("\n")) {
             if (line.startsWith("app.")) {
@@ -52,7 +52,7 @@
         return metrics;
     }
 
-    private static String id(StandIn server) {
+    private static String serverId(StandIn server) {
         return "s" + server.address().getPort();
     }
 
@@ -73,29 +73,30 @@
     }
 
     @Test
-    public void eachWordHasItsAnswer() throws Exception {
+    public void eachCommandHasItsAnswer() throws Exception {
         try (Site site = new Site(1, 1)) {
-            for (Object[] w : words()) {
-                String said = call(site, (String) w[0]);
-                assertTrue(said.startsWith((String) w[1]) && said.endsWith("\n"), w[0] + ": " + said);
+            for (Object[] row : words()) {
+                String answer = call(site, (String) row[0]);
+                assertTrue(answer.startsWith((String) row[1]) && answer.endsWith("\n"), row[0] + ": " + answer);
             }
         }
     }
 
     /** Callers that send nothing, half a command or too much do not block others, however many they are. */
     @Test
-    public void silentCallersHoldNobodyUp() throws Exception {
+    public void silentCallersDoNotBlockOthers() throws Exception {
         try (Site site = new Site(1, 1)) {
             List<Socket> silent = new ArrayList<>();
             for (int i = 0; i < 300; i++) {
-                Socket s = new Socket(
-                        site.node.door().getAddress(), site.node.door().getPort());
-                s.getOutputStream().write(i % 3 == 0 ? new byte[0] : i % 3 == 1 ? "PI".getBytes() : new byte[300]);
-                silent.add(s);
+                Socket socket = new Socket(
+                        site.node.adminAddress().getAddress(),
+                        site.node.adminAddress().getPort());
+                socket.getOutputStream().write(i % 3 == 0 ? new byte[0] : i % 3 == 1 ? "PI".getBytes() : new byte[300]);
+                silent.add(socket);
             }
             assertEquals(call(site, "PING"), "ACK\n");
-            for (Socket s : silent) {
-                s.close();
+            for (Socket socket : silent) {
+                socket.close();
             }
         }
     }
@@ -105,30 +106,32 @@
      * server.
      */
     @Test
-    public void whatIsOutGetsNothing() throws Exception {
+    public void aDetachedServerGetsNothing() throws Exception {
         try (Site site = new Site(1, 2);
-                Line client = site.client()) {
-            StandIn out = site.writers.get(0);
-            assertEquals(call(site, "DETACH " + id(out)), "ACK\n");
-            assertEquals(call(site, "DETACH " + id(out)), "ACK\n");
-            site.changes.add(Site.entry(out, "decode", "active"));
-            await("the change is sent", site.changes::isEmpty);
+                RawConnection client = site.client()) {
+            StandIn detached = site.writers.get(0);
+            assertEquals(call(site, "DETACH " + serverId(detached)), "ACK\n");
+            assertEquals(call(site, "DETACH " + serverId(detached)), "ACK\n");
+            site.listChanges.add(Site.entry(detached, "decode", "active"));
+            await("the change is sent", site.listChanges::isEmpty);
             for (int i = 0; i < 20; i++) {
                 assertEquals(client.send(request("ask", 4000)).read().status(), 200);
             }
-            assertEquals(out.attempts(), 0);
+            assertEquals(detached.attempts(), 0);
             assertEquals(site.writers.get(1).attempts(), 20);
-            await("counted as unhealthy", () -> metrics(site.node.door()).get("cluster_unhealthy") == 1);
-            assertEquals(call(site, "ATTACH " + id(out)), "ACK\n");
+            await(
+                    "counted as unhealthy",
+                    () -> metrics(site.node.adminAddress()).get("cluster_unhealthy") == 1);
+            assertEquals(call(site, "ATTACH " + serverId(detached)), "ACK\n");
             await("used again", () -> {
                 try {
                     client.send(request("ask", 4000)).read();
                 } catch (IOException e) {
                     throw new UncheckedIOException(e);
                 }
-                return out.attempts() > 0;
+                return detached.attempts() > 0;
             });
-            await("in use", () -> metrics(site.node.door()).get("cluster_unhealthy") == 0);
+            await("in use", () -> metrics(site.node.adminAddress()).get("cluster_unhealthy") == 0);
         }
     }
 
@@ -136,29 +139,29 @@
      * After LAMEDUCK the health check fails at once, open requests go on and idle connections are closed; REJOIN reverses it.
      */
     @Test
-    public void clientsAreSentAway() throws Exception {
+    public void lameduckSendsClientsAway() throws Exception {
         try (Site site = new Site(1, 1);
-                Line idle = site.client();
-                Line busy = site.client();
-                Line next = site.client()) {
-            CountDownLatch go = new CountDownLatch(1);
-            site.writers.get(0).script = attempts((m, line) -> {
-                line.beginStream().chunk("data: 1\n\n");
-                go.await();
-                line.chunk(Site.EVENTS).lastChunk();
+                RawConnection idle = site.client();
+                RawConnection busy = site.client();
+                RawConnection next = site.client()) {
+            CountDownLatch unblock = new CountDownLatch(1);
+            site.writers.get(0).script = attempts((request, connection) -> {
+                connection.beginStream().sendChunk("data: 1\n\n");
+                unblock.await();
+                connection.sendChunk(Site.EVENTS).sendLastChunk();
             });
             idle.send("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n").read();
-            busy.send(request("ask", 4000)).head();
+            busy.send(request("ask", 4000)).readHead();
             busy.readChunk();
             assertEquals(call(site, "LAMEDUCK"), "ACK\n");
             assertEquals(call(site, "LAMEDUCK"), "ACK\n");
             assertEquals(site.get("/healthz").status(), 503);
             assertEquals(call(site, "PING"), "ACK\n");
-            site.writers.get(0).script = Site::write;
-            Line.Message last = next.send(request("send", 4000)).read();
-            assertEquals(last.status() + " " + last.header("Connection"), "200 close");
+            site.writers.get(0).script = Site::answerAsWriter;
+            RawConnection.Message lastAnswer = next.send(request("send", 4000)).read();
+            assertEquals(lastAnswer.status() + " " + lastAnswer.header("Connection"), "200 close");
             assertTrue(idle.awaitClosed(), "an idle connection is closed");
-            go.countDown();
+            unblock.countDown();
             StringBuilder rest = new StringBuilder();
             for (String event = busy.readChunk(); event != null; event = busy.readChunk()) {
                 rest.append(event);
@@ -167,7 +170,7 @@
             assertTrue(busy.awaitClosed(), "closed once idle, though its head had not announced the close");
             assertEquals(call(site, "REJOIN"), "ACK\n");
             assertEquals(site.get("/healthz").status(), 200);
-            try (Line again = site.client()) {
+            try (RawConnection again = site.client()) {
                 for (int i = 0; i < 2; i++) {
                     assertEquals(again.send(request("ask", 4000)).read().status(), 200);
                 }
@@ -177,54 +180,55 @@
 
     /** The metrics equal exactly what clients were answered and what servers were sent. */
     @Test
-    public void figuresAreTrue() throws Exception {
+    public void metricsMatchRequestsAndAttempts() throws Exception {
         try (Site site = new Site(1, 1)) {
-            Map<String, Long> counted = new TreeMap<>();
+            Map<String, Long> expected = new TreeMap<>();
             StandIn writer = site.writers.get(0);
             StandIn.Script[] scripts = {
-                Site::write,
-                attempts((m, line) -> line.reset()),
-                attempts((m, line) -> line.answer(500, "")),
-                Site::write,
-                attempts((m, line) -> line.answer(503, "", "X-Not-Processed: 1\r\n"))
+                Site::answerAsWriter,
+                attempts((request, connection) -> connection.reset()),
+                attempts((request, connection) -> connection.respond(500, "")),
+                Site::answerAsWriter,
+                attempts((request, connection) -> connection.respond(503, "", "X-Not-Processed: 1\r\n"))
             };
             for (int i = 0; i < 15; i++) {
                 writer.script = scripts[i % scripts.length];
                 String requestClass = i % 2 == 0 ? "ask" : "send";
                 int status;
-                try (Line one = site.client()) {
-                    status = one.send(request(requestClass, 900)).read().status();
+                try (RawConnection client = site.client()) {
+                    status = client.send(request(requestClass, 900)).read().status();
                 }
-                String end = status == 200 ? "answered" : status == 429 || status == 503 ? "deferred" : "errored";
-                counted.merge("transactions." + requestClass + "." + end, 1L, Long::sum);
+                String outcome = status == 200 ? "answered" : status == 429 || status == 503 ? "deferred" : "errored";
+                expected.merge("transactions." + requestClass + "." + outcome, 1L, Long::sum);
             }
-            Map<String, Long> told = metrics(site.node.door());
-            counted.forEach((name, count) -> assertEquals(told.get(name), count, name + " of " + told));
+            Map<String, Long> reported = metrics(site.node.adminAddress());
+            expected.forEach((name, count) -> assertEquals(reported.get(name), count, name + " of " + reported));
             assertEquals(
-                    told.entrySet().stream()
+                    reported.entrySet().stream()
                             .filter(e -> e.getKey().startsWith("transactions.")
                                     && !e.getKey().endsWith("sends"))
                             .mapToLong(Map.Entry::getValue)
                             .sum(),
                     15,
-                    told.toString());
-            assertEquals((long) told.get("sends"), site.attempts(site.readers) + site.attempts(site.writers));
-            assertEquals((long) told.get("current"), 0);
-            await("the list is counted", () -> metrics(site.node.door()).get("cluster_size") == 2);
-            CountDownLatch go = new CountDownLatch(1);
-            writer.script = attempts((m, line) -> {
-                go.await();
-                Site.write(m, line);
+                    reported.toString());
+            assertEquals((long) reported.get("sends"), site.attempts(site.readers) + site.attempts(site.writers));
+            assertEquals((long) reported.get("current"), 0);
+            await("the list is counted", () -> metrics(site.node.adminAddress()).get("cluster_size") == 2);
+            CountDownLatch unblock = new CountDownLatch(1);
+            writer.script = attempts((request, connection) -> {
+                unblock.await();
+                Site.answerAsWriter(request, connection);
             });
-            // opened only now: a connection that sends nothing for 2.4 s is closed, and on a busy core the part above takes
+            // opened only now: a connection that sends nothing for 2.4 s is closed, and on a busy core the part above
+            // takes
             // longer
-            try (Line client = site.client()) {
+            try (RawConnection client = site.client()) {
                 client.send(request("ask", 4000));
-                await("one is open", () -> metrics(site.node.door()).get("current") == 1);
-                go.countDown();
+                await("one is open", () -> metrics(site.node.adminAddress()).get("current") == 1);
+                unblock.countDown();
                 client.read();
             }
-            await("none is open", () -> metrics(site.node.door()).get("current") == 0);
+            await("none is open", () -> metrics(site.node.adminAddress()).get("current") == 0);
         }
     }
 }
--- a/src/test/java/copperbeam/sockets/OtherSitesTest.java
+++ b/src/test/java/copperbeam/sockets/OtherSitesTest.java
@@ -36,13 +36,15 @@
 
     @Test(dataProvider = "names")
     public void aRequestOfTheClassIsServedAndItsNameGoesOnUnchanged(String name) throws Exception {
-        Api.Settings settings = Site.parsed(String.format(Site.SETTINGS, 30.0).replace("\"ask\"", '"' + name + '"'));
-        try (Site site = new Site(1, 1, 30, null, List.of(), Config.Limits.USUAL, settings, Duration.ofMillis(250));
-                Line client = site.client()) {
+        Api.Settings settings =
+                Site.parseSettings(String.format(Site.SETTINGS_FORMAT, 30.0).replace("\"ask\"", '"' + name + '"'));
+        try (Site site = new Site(1, 1, 30, null, List.of(), Config.Limits.DEFAULT, settings, Duration.ofMillis(250));
+                RawConnection client = site.client()) {
             assertEquals(client.send(request(name, 5000)).read().status(), 200);
             for (StandIn server : List.of(site.readers.get(0), site.writers.get(0))) {
-                String seen = server.seen.get(0).header("X-Priority-Class"); // decoded as ISO-8859-1, one char per byte
-                assertEquals(new String(seen.getBytes(StandardCharsets.ISO_8859_1), StandardCharsets.UTF_8), name);
+                String forwarded =
+                        server.requests.get(0).header("X-Priority-Class"); // decoded as ISO-8859-1, one char per byte
+                assertEquals(new String(forwarded.getBytes(StandardCharsets.ISO_8859_1), StandardCharsets.UTF_8), name);
             }
             assertEquals(client.send(request(name + "?", 5000)).read().status(), 400, "no such class");
         }
@@ -50,15 +52,15 @@
 
     /** The Idempotency-Key, by which servers recognise repeats, is forwarded unchanged to the reader and the writer. */
     @Test
-    public void theKeyOfARepeatGoesToReaderAndWriter() throws Exception {
-        Api.Settings settings =
-                Site.parsed(String.format(Site.SETTINGS, 30.0).replace("\"safe\"", "\"keyed\",\"window_s\":1.6"));
-        try (Site site = new Site(1, 1, 30, null, List.of(), Config.Limits.USUAL, settings, Duration.ofMillis(250));
-                Line client = site.client()) {
+    public void theIdempotencyKeyIsForwardedToReaderAndWriter() throws Exception {
+        Api.Settings settings = Site.parseSettings(
+                String.format(Site.SETTINGS_FORMAT, 30.0).replace("\"safe\"", "\"keyed\",\"window_s\":1.6"));
+        try (Site site = new Site(1, 1, 30, null, List.of(), Config.Limits.DEFAULT, settings, Duration.ofMillis(250));
+                RawConnection client = site.client()) {
             client.send(request("ask", 5000).replace("X-Route-Key", "idempotency-key: 369b60ebb8\r\nX-Route-Key"));
             assertEquals(client.read().status(), 200);
-            assertEquals(site.readers.get(0).seen.get(0).header("Idempotency-Key"), "369b60ebb8");
-            assertEquals(site.writers.get(0).seen.get(0).header("Idempotency-Key"), "369b60ebb8");
+            assertEquals(site.readers.get(0).requests.get(0).header("Idempotency-Key"), "369b60ebb8");
+            assertEquals(site.writers.get(0).requests.get(0).header("Idempotency-Key"), "369b60ebb8");
         }
     }
 
@@ -68,53 +70,54 @@
      */
     @SuppressWarnings("try") // the first client is closed in the middle of the test
     @Test
-    public void anAnswerMayTakeLongerThanAConnection() throws Exception {
-        Api.Settings settings =
-                Site.parsed(String.format(Site.SETTINGS, 30.0).replace("\"probing\":false", "\"probing\":true"));
-        try (Site site = new Site(2, 2, 30, null, List.of(), Config.Limits.USUAL, settings, Duration.ofMillis(20));
-                Line client = site.client();
-                Line other = site.client()) {
-            site.readers.forEach(s -> s.script = late(Site::read));
-            site.writers.forEach(s -> s.script = late((m, line) -> line.read())); // reads until the connection ends, without an answer
+    public void anAnswerMayTakeLongerThanTheConnectTimeout() throws Exception {
+        Api.Settings settings = Site.parseSettings(
+                String.format(Site.SETTINGS_FORMAT, 30.0).replace("\"probing\":false", "\"probing\":true"));
+        try (Site site = new Site(2, 2, 30, null, List.of(), Config.Limits.DEFAULT, settings, Duration.ofMillis(20));
+                RawConnection client = site.client();
+                RawConnection other = site.client()) {
+            site.readers.forEach(server -> server.script = delayedExceptAttempts(Site::answerAsReader));
+            site.writers.forEach(server -> server.script = delayedExceptAttempts(
+                    (request, connection) -> connection.read())); // reads until the connection ends, without an answer
             client.send(request("ask", 5000));
             Site.await("written", () -> site.attempts(site.writers) == 1);
             client.close();
             Site.await("released", () -> site.releases() > 0);
             Thread.sleep(1000); // a release that timed out would be retried within this time
             assertTrue(site.releases() <= 2, "releases: " + site.releases());
-            site.writers.forEach(s -> s.script = late(Site::write));
+            site.writers.forEach(server -> server.script = delayedExceptAttempts(Site::answerAsWriter));
             assertEquals(other.send(request("send", 5000)).read().status(), 200);
         }
     }
 
     /** Answers all but attempts after 60 ms: more than the connect timeout, and far less than the time for an answer. */
-    private static StandIn.Script late(StandIn.Script attempts) {
-        return (m, line) -> {
-            if (m.method().equals("POST")) {
-                attempts.run(m, line);
+    private static StandIn.Script delayedExceptAttempts(StandIn.Script attempts) {
+        return (request, connection) -> {
+            if (request.method().equals("POST")) {
+                attempts.run(request, connection);
             } else {
                 Thread.sleep(60);
-                line.answer(m.method().equals("DELETE") ? 204 : 200, "");
+                connection.respond(request.method().equals("DELETE") ? 204 : 200, "");
             }
         };
     }
 
     /** If servers are full, requests above their tenant's quota are refused first, even those of the class of highest worth. */
     @Test
-    public void whatATenantSendsOverItsShareIsRefusedFirst() throws Exception {
-        tenantOverItsShare(List.of());
+    public void requestsOverATenantsQuotaAreRefusedFirst() throws Exception {
+        assertTenantOverQuotaIsRefusedFirst(List.of());
     }
 
-    static void tenantOverItsShare(List<RequestHook> hooks) throws Exception {
-        Api.Settings settings = Site.parsed(String.format(Site.SETTINGS, 30.0)
+    static void assertTenantOverQuotaIsRefusedFirst(List<RequestHook> hooks) throws Exception {
+        Api.Settings settings = Site.parseSettings(String.format(Site.SETTINGS_FORMAT, 30.0)
                 .replace(
                         "\"balancers\"", "\"customers\":[{\"name\":\"größer AG\",\"quota_per_s\":0.001}],\"balancers\"")
                 .replace("on_probe", "inline"));
-        try (Site site = new Site(2, 2, 30, null, hooks, Config.Limits.USUAL, settings, Duration.ofMillis(250));
-                Line client = site.client()) {
-            String full = "X-Server-Load: inflight=1,x0=4.4\r\n";
-            site.readers.forEach(
-                    s -> s.script = Site.attempts((m, line) -> line.answer(202, "{\"cached_tokens\":0}", full)));
+        try (Site site = new Site(2, 2, 30, null, hooks, Config.Limits.DEFAULT, settings, Duration.ofMillis(250));
+                RawConnection client = site.client()) {
+            String fullReport = "X-Server-Load: inflight=1,x0=4.4\r\n";
+            site.readers.forEach(server -> server.script = Site.attempts(
+                    (request, connection) -> connection.respond(202, "{\"cached_tokens\":0}", fullReport)));
             for (String tenant : List.of("another", "größer AG", "another")) {
                 int refused = 0;
                 for (int i = 0; i < 12; i++) {
@@ -134,21 +137,23 @@
 
     /** Interim 1xx answers are skipped, from readers and writers and in any number. */
     @Test(dataProvider = "interim")
-    public void anInterimAnswerIsPassedOver(int status, boolean reads) throws Exception {
+    public void anInterimAnswerIsPassedOver(int status, boolean isReader) throws Exception {
         try (Site site = new Site(1, 1);
-                Line client = site.client()) {
-            StandIn server = (reads ? site.readers : site.writers).get(0);
-            server.script = Site.attempts((m, line) -> {
-                line.send("HTTP/1.1 " + status + " x\r\nLink: y\r\n\r\n")
+                RawConnection client = site.client()) {
+            StandIn server = (isReader ? site.readers : site.writers).get(0);
+            server.script = Site.attempts((request, connection) -> {
+                connection
+                        .send("HTTP/1.1 " + status + " x\r\nLink: y\r\n\r\n")
                         .send(("HTTP/1.1 " + status + " x\r\n\r\n").repeat(3));
-                if (reads) {
-                    Site.read(m, line);
+                if (isReader) {
+                    Site.answerAsReader(request, connection);
                 } else {
-                    Site.write(m, line);
+                    Site.answerAsWriter(request, connection);
                 }
             });
             for (int i = 0; i < 2; i++) { // again on the kept connection
-                Line.Message answer = client.send(request("send", 5000)).read();
+                RawConnection.Message answer =
+                        client.send(request("send", 5000)).read();
                 assertEquals(answer.status(), 200);
                 assertEquals(answer.text(), Site.EVENTS);
             }
@@ -161,19 +166,21 @@
     public void aServerThatSwitchesProtocolsHasFailed() throws Exception {
         for (String requestClass : List.of("ask", "send")) {
             try (Site site = new Site(1, 2);
-                    Line client = site.client()) {
-                java.util.concurrent.atomic.AtomicInteger turn = new java.util.concurrent.atomic.AtomicInteger();
-                site.writers.forEach(w -> w.script = Site.attempts((m, line) -> {
-                    if (turn.getAndIncrement() == 0) {
-                        line.send("HTTP/1.1 101 x\r\nUpgrade: y\r\nConnection: Upgrade\r\n\r\n")
+                    RawConnection client = site.client()) {
+                java.util.concurrent.atomic.AtomicInteger attemptCount =
+                        new java.util.concurrent.atomic.AtomicInteger();
+                site.writers.forEach(writer -> writer.script = Site.attempts((request, connection) -> {
+                    if (attemptCount.getAndIncrement() == 0) {
+                        connection
+                                .send("HTTP/1.1 101 x\r\nUpgrade: y\r\nConnection: Upgrade\r\n\r\n")
                                 .read();
                     } else {
-                        Site.write(m, line);
+                        Site.answerAsWriter(request, connection);
                     }
                 }));
                 int status = client.send(request(requestClass, 4000)).read().status();
                 assertEquals(status / 100, requestClass.equals("ask") ? 2 : 5, "" + status);
-                assertEquals(turn.get(), requestClass.equals("ask") ? 2 : 1);
+                assertEquals(attemptCount.get(), requestClass.equals("ask") ? 2 : 1);
             }
         }
     }
--- a/src/test/java/copperbeam/sockets/PlainHttpClientTest.java
+++ b/src/test/java/copperbeam/sockets/PlainHttpClientTest.java
@@ -13,8 +13,8 @@
 
 /** Calls to services other than model servers, such as discovery. */
 public class PlainHttpClientTest {
-    private static final class Told implements HttpClient.Response {
-        final CompletableFuture<String> last = new CompletableFuture<>();
+    private static final class RecordingResponse implements HttpClient.Response {
+        final CompletableFuture<String> outcome = new CompletableFuture<>();
 
         @Override
         public void head(int status) {}
@@ -24,44 +24,44 @@
 
         @Override
         public void end() {
-            last.complete("end");
+            outcome.complete("end");
         }
 
         @Override
-        public void failed(String why) {
-            last.complete(why);
+        public void failed(String reason) {
+            outcome.complete(reason);
         }
 
-        String await() throws Exception {
-            return last.get(Line.PATIENCE_MS, TimeUnit.MILLISECONDS);
+        String awaitOutcome() throws Exception {
+            return outcome.get(RawConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS);
         }
     }
 
     /** Guards against a late stop of a completed call that closes its connection, which already carries the next call. */
     @Test
     public void aCallThatIsStoppedAfterItsEndLeavesTheNextAlone() throws Exception {
-        CountDownLatch met = new CountDownLatch(1);
-        CountDownLatch go = new CountDownLatch(1);
-        try (StandIn service = new StandIn((m, line) -> {
-                    if (m.path().equals("/next")) {
-                        met.countDown();
-                        go.await();
+        CountDownLatch nextReceived = new CountDownLatch(1);
+        CountDownLatch allowAnswer = new CountDownLatch(1);
+        try (StandIn service = new StandIn((request, connection) -> {
+                    if (request.path().equals("/next")) {
+                        nextReceived.countDown();
+                        allowAnswer.await();
                     }
-                    line.answer(200, "{}");
+                    connection.respond(200, "{}");
                 });
                 ClientReactor reactor = new ClientReactor()) {
             HttpClient client = new PlainHttpClient(reactor);
-            HttpClient.Patience patience = new HttpClient.Patience(Duration.ofSeconds(5), Duration.ofSeconds(9));
-            Told first = new Told();
-            Told next = new Told();
-            Runnable stop = client.send(service.address(), "GET", "/first", null, patience, first);
-            assertEquals(first.await(), "end");
-            client.send(service.address(), "GET", "/next", null, patience, next);
-            met.await();
-            stop.run();
-            go.countDown();
-            assertEquals(next.await(), "end");
-            assertEquals(service.lines.size(), 1);
+            HttpClient.Timeouts timeouts = new HttpClient.Timeouts(Duration.ofSeconds(5), Duration.ofSeconds(9));
+            RecordingResponse first = new RecordingResponse();
+            RecordingResponse next = new RecordingResponse();
+            Runnable stopFirst = client.send(service.address(), "GET", "/first", null, timeouts, first);
+            assertEquals(first.awaitOutcome(), "end");
+            client.send(service.address(), "GET", "/next", null, timeouts, next);
+            nextReceived.await();
+            stopFirst.run();
+            allowAnswer.countDown();
+            assertEquals(next.awaitOutcome(), "end");
+            assertEquals(service.connections.size(), 1);
         }
     }
 }
--- a/src/test/java/copperbeam/sockets/ReactorEndTest.java
+++ b/src/test/java/copperbeam/sockets/ReactorEndTest.java
@@ -5,8 +5,8 @@
 import static org.testng.Assert.assertTrue;
 
 import copperbeam.routing.Connector;
+import copperbeam.transport.ClientConnections;
 import copperbeam.transport.ClientReactor;
-import copperbeam.transport.ClientRoom;
 import copperbeam.transport.HttpFrontServer;
 import copperbeam.transport.ServerConnector;
 import java.net.InetSocketAddress;
@@ -19,8 +19,8 @@
 
 /** Errors thrown by callbacks on a reactor's thread, which must not end the reactor. */
 public class ReactorEndTest {
-    private static final int NOBODY = 1; // a port on which nothing listens
-    private static final String GET = "GET /%s HTTP/1.1\r\nHost: x\r\n\r\n";
+    private static final int CLOSED_PORT = 1; // a port on which nothing listens
+    private static final String GET_REQUEST = "GET /%s HTTP/1.1\r\nHost: x\r\n\r\n";
 
     /**
      * An error in a handler, such as a stack overflow, is answered with 500 and closes its own connection, but neither other
@@ -33,19 +33,26 @@
                     if (call.path().equals("/fails")) {
                         throw new StackOverflowError("thrown by the test");
                     }
-                    reply.whole(200, "text/plain", Map.of(), new byte[0]);
+                    reply.respond(200, "text/plain", Map.of(), new byte[0]);
                     return () -> {};
                 },
                 Clock.systemUTC(),
-                new ClientRoom(10, 1000),
+                new ClientConnections(10, 1000),
                 (c, status) -> {})) {
-            InetSocketAddress at = server.listen(new InetSocketAddress("127.0.0.1", 0), false);
-            try (Line bad = new Line(at);
-                    Line beside = new Line(at)) {
-                assertEquals(beside.send(String.format(GET, "x")).read().status(), 200);
-                assertEquals(bad.send(String.format(GET, "fails")).read().status(), 500);
-                assertTrue(bad.awaitClosed());
-                assertEquals(beside.send(String.format(GET, "x")).read().status(), 200);
+            InetSocketAddress address = server.listen(new InetSocketAddress("127.0.0.1", 0), false);
+            try (RawConnection badClient = new RawConnection(address);
+                    RawConnection otherClient = new RawConnection(address)) {
+                assertEquals(
+                        otherClient.send(String.format(GET_REQUEST, "x")).read().status(), 200);
+                assertEquals(
+                        badClient
+                                .send(String.format(GET_REQUEST, "fails"))
+                                .read()
+                                .status(),
+                        500);
+                assertTrue(badClient.awaitClosed());
+                assertEquals(
+                        otherClient.send(String.format(GET_REQUEST, "x")).read().status(), 200);
             }
         }
     }
@@ -61,34 +68,34 @@
      * reactor that ends by it, after which no server was reached again.
      */
     @Test(dataProvider = "failures")
-    public void anErrorOfWhoIsToldOfAConnectionLeavesItsReactorServing(boolean up) throws Exception {
-        try (StandIn server = new StandIn((m, line) -> line.answer(200, ""));
+    public void anErrorInAConnectionListenerLeavesItsReactorServing(boolean connects) throws Exception {
+        try (StandIn server = new StandIn((request, connection) -> connection.respond(200, ""));
                 ClientReactor reactor = new ClientReactor()) {
             ServerConnector connector = new ServerConnector(reactor);
-            CountDownLatch failed = new CountDownLatch(1);
+            CountDownLatch listenerCalled = new CountDownLatch(1);
             connector.connect(
-                    up ? server.address() : new InetSocketAddress("127.0.0.1", NOBODY),
+                    connects ? server.address() : new InetSocketAddress("127.0.0.1", CLOSED_PORT),
                     Duration.ofSeconds(5),
-                    new Told(failed, () -> {
+                    new CallbackListener(listenerCalled, () -> {
                         throw new NoClassDefFoundError("thrown by the test");
                     }));
-            await("the listener was called", () -> failed.getCount() == 0);
-            CountDownLatch reached = new CountDownLatch(1);
-            connector.connect(server.address(), Duration.ofSeconds(5), new Told(reached, () -> {}));
-            await("another connection is established", () -> reached.getCount() == 0);
+            await("the listener was called", () -> listenerCalled.getCount() == 0);
+            CountDownLatch secondConnected = new CountDownLatch(1);
+            connector.connect(server.address(), Duration.ofSeconds(5), new CallbackListener(secondConnected, () -> {}));
+            await("another connection is established", () -> secondConnected.getCount() == 0);
         }
     }
 
-    private record Told(CountDownLatch told, Runnable then) implements Connector.Watcher {
+    private record CallbackListener(CountDownLatch called, Runnable callback) implements Connector.ConnectionListener {
         @Override
-        public void up(Connector.Connection connection) {
-            failed();
+        public void connected(Connector.Connection connection) {
+            connectFailed();
         }
 
         @Override
-        public void failed() {
-            told.countDown();
-            then.run();
+        public void connectFailed() {
+            called.countDown();
+            callback.run();
         }
 
         @Override
--- a/src/test/java/copperbeam/sockets/ReadyProbe.java
+++ b/src/test/java/copperbeam/sockets/ReadyProbe.java
@@ -40,81 +40,81 @@
         List<StandIn> servers = new ArrayList<>();
         List<String> entries = new ArrayList<>();
         for (int i = 0; i < Integer.parseInt(args[1]); i++) {
-            servers.add(new StandIn(i % 2 == 0 ? Site::read : Site::write));
+            servers.add(new StandIn(i % 2 == 0 ? Site::answerAsReader : Site::answerAsWriter));
             entries.add(Site.entry(servers.get(i), i % 2 == 0 ? "prefill" : "decode", "active"));
         }
         String list = "{\"version\":7,\"full\":true,\"servers\":[" + String.join(",", entries) + "]}";
         List<double[]> starts = new ArrayList<>();
         for (int i = 0; i < Integer.parseInt(args[0]); i++) {
-            starts.add(start(list, words));
+            starts.add(measureStart(list, words));
         }
-        for (int f = 0; f < FIGURES.length; f++) {
-            int figure = f;
+        for (int row = 0; row < FIGURES.length; row++) {
+            int figure = row;
             double[] sorted =
                     starts.stream().mapToDouble(s -> s[figure]).sorted().toArray();
             System.out.printf(
                     "%-34s median %7.1f  worst %7.1f%n",
-                    FIGURES[f], sorted[sorted.length / 2], sorted[sorted.length - 1]);
+                    FIGURES[row], sorted[sorted.length / 2], sorted[sorted.length - 1]);
         }
         System.exit(0);
     }
 
-    private static double[] start(String list, List<String> words) throws Exception {
-        StandIn discovery = new StandIn((m, line) -> {
-            if (m.path().contains("from=")) {
+    private static double[] measureStart(String list, List<String> words) throws Exception {
+        StandIn discovery = new StandIn((request, connection) -> {
+            if (request.path().contains("from=")) {
                 Thread.sleep(2500);
-                line.answer(200, "{\"version\":7,\"full\":false,\"servers\":[]}");
+                connection.respond(200, "{\"version\":7,\"full\":false,\"servers\":[]}");
             } else {
-                line.answer(200, list);
+                connection.respond(200, list);
             }
         });
         if (words.contains("silent")) {
-            discovery.script = first(discovery.script);
+            discovery.script = delayingFirstCall(discovery.script);
         }
         Path folder = Files.createTempDirectory("ready");
-        Path file = folder.resolve("config.json");
+        Path configFile = folder.resolve("config.json");
         InetSocketAddress listen = Conductor.freeAddress();
-        String settings = String.format(Site.SETTINGS, 30);
+        String settings = String.format(Site.SETTINGS_FORMAT, 30);
         Files.writeString(
-                file,
+                configFile,
                 "{\"name\":\"n0\",\"listen\":\"127.0.0.1:" + listen.getPort() + "\",\"discovery\":\""
-                        + discovery.host() + "\",\"limits\":{\"memory_mb\":192,\"sockets\":1024},\"settings\":"
+                        + discovery.hostAndPort() + "\",\"limits\":{\"memory_mb\":192,\"sockets\":1024},\"settings\":"
                         + (words.contains("known")
                                 ? settings.replaceFirst("\\{", "{\"discovery\":\"subscribe\",")
                                 : settings)
                         + (words.contains("known") ? ",\"known\":" + list : "") + "}");
-        ProcessBuilder run = new ProcessBuilder("sh", "-c", runLine(words));
-        run.environment().put("GW_CONFIG", file.toString());
-        run.environment().put("TMPDIR", folder.toString());
+        ProcessBuilder builder = new ProcessBuilder("sh", "-c", runLine(words));
+        builder.environment().put("GW_CONFIG", configFile.toString());
+        builder.environment().put("TMPDIR", folder.toString());
         if (words.contains("door")) {
-            run.environment()
+            builder.environment()
                     .put("GW_CONTROL", "127.0.0.1:" + Conductor.freeAddress().getPort());
         }
-        long from = System.nanoTime();
-        Process process = run.redirectErrorStream(true)
+        long startNs = System.nanoTime();
+        Process process = builder.redirectErrorStream(true)
                 .redirectOutput(folder.resolve("log").toFile())
                 .start();
         try (discovery) {
-            while (!healthy(listen)) {
+            while (!isHealthy(listen)) {
                 if (!process.isAlive()
-                        || System.nanoTime() - from > Duration.ofSeconds(60).toNanos()) {
+                        || System.nanoTime() - startNs > Duration.ofSeconds(60).toNanos()) {
                     throw new IllegalStateException(Files.readString(folder.resolve("log")));
                 }
                 LockSupport.parkNanos(Duration.ofMillis(10).toNanos());
             }
-            double wall = (System.nanoTime() - from) / 1e6;
-            long ready = Conductor.cpuMs(process);
-            double[] answers = new double[REQUESTS];
+            double wallMs = (System.nanoTime() - startNs) / 1e6;
+            long readyCpuMs = Conductor.cpuMs(process);
+            double[] answerMs = new double[REQUESTS];
             for (int i = 0; i < REQUESTS; i++) {
-                answers[i] = answer(listen, i);
+                answerMs[i] = measureRequestMs(listen, i);
             }
-            long served = Conductor.cpuMs(process);
+            long servedCpuMs = Conductor.cpuMs(process);
             return new double[] {
-                ready,
-                wall,
-                answers[0],
-                IntStream.range(1, REQUESTS).mapToDouble(i -> answers[i]).max().getAsDouble(),
-                served - ready
+                readyCpuMs,
+                wallMs,
+                answerMs[0],
+                IntStream.range(1, REQUESTS).mapToDouble(i -> answerMs[i]).max().getAsDouble(),
+                servedCpuMs - readyCpuMs
             };
         } finally {
             process.destroyForcibly().waitFor();
@@ -122,16 +122,16 @@
     }
 
     /** Delays the first call by a minute, as long as the probe waits for a start; later calls go to {@code script} at once. */
-    private static StandIn.Script first(StandIn.Script then) {
+    private static StandIn.Script delayingFirstCall(StandIn.Script script) {
         int[] calls = {0};
-        return (m, line) -> {
+        return (request, connection) -> {
             synchronized (calls) {
                 calls[0]++;
             }
             if (calls[0] == 1) {
                 Thread.sleep(Duration.ofMinutes(1).toMillis());
             }
-            then.run(m, line);
+            script.run(request, connection);
         };
     }
 
@@ -145,25 +145,30 @@
         return run.replace(" -jar ", " " + String.join(" ", options) + " -jar ");
     }
 
-    private static boolean healthy(InetSocketAddress at) {
-        try (Line line = new Line(at)) {
-            return line.send("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n").read().status() == 200;
+    private static boolean isHealthy(InetSocketAddress address) {
+        try (RawConnection connection = new RawConnection(address)) {
+            return connection
+                            .send("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
+                            .read()
+                            .status()
+                    == 200;
         } catch (IOException e) {
             return false;
         }
     }
 
-    private static double answer(InetSocketAddress at, int number) throws IOException {
-        long from = System.nanoTime();
-        try (Line line = new Line(at)) {
+    private static double measureRequestMs(InetSocketAddress address, int number) throws IOException {
+        long startNs = System.nanoTime();
+        try (RawConnection connection = new RawConnection(address)) {
             String id = "first" + number;
-            Line.Message m = line.send(Site.request(
+            RawConnection.Message message = connection
+                    .send(Site.request(
                             id, number % 2 == 0 ? "ask" : "send", "9000m", "prefix=p,prompt_len=1000,max_out=9", "{}"))
                     .read();
-            if (m.status() != 200) {
-                throw new IllegalStateException(m.start() + " " + m.text());
+            if (message.status() != 200) {
+                throw new IllegalStateException(message.startLine() + " " + message.text());
             }
         }
-        return (System.nanoTime() - from) / 1e6;
+        return (System.nanoTime() - startNs) / 1e6;
     }
 }
--- a/src/test/java/copperbeam/sockets/ReleaseTest.java
+++ b/src/test/java/copperbeam/sockets/ReleaseTest.java
@@ -17,30 +17,35 @@
      * eleventh would get it only after 1.2 s.
      */
     @Test
-    public void aReleaseIsHeardThoughTheFirstTenAreSilent() throws Exception {
+    public void aReleaseSucceedsThoughTheFirstTenServersAreSilent() throws Exception {
         try (Site site = new Site(1, 14);
-                Line client = site.client()) {
-            AtomicInteger asked = new AtomicInteger();
-            AtomicLong failed = new AtomicLong();
-            AtomicLong heard = new AtomicLong();
-            StandIn.Script late = (m, line) -> {
-                if (asked.incrementAndGet() > 10 && heard.compareAndSet(0, System.nanoTime())) {
-                    line.answer(204, "");
+                RawConnection client = site.client()) {
+            AtomicInteger releaseCalls = new AtomicInteger();
+            AtomicLong failedNs = new AtomicLong();
+            AtomicLong confirmedNs = new AtomicLong();
+            StandIn.Script releaseScript = (request, connection) -> {
+                if (releaseCalls.incrementAndGet() > 10 && confirmedNs.compareAndSet(0, System.nanoTime())) {
+                    connection.respond(204, "");
                 }
             };
-            site.readers.get(0).script =
-                    (m, line) -> (m.method().equals("DELETE") ? late : (StandIn.Script) Site::read).run(m, line);
-            site.writers.forEach(w -> w.script = (m, line) -> {
-                if (m.method().equals("DELETE")) {
-                    late.run(m, line);
+            site.readers.get(0).script = (request, connection) -> (request.method()
+                                    .equals("DELETE")
+                            ? releaseScript
+                            : (StandIn.Script) Site::answerAsReader)
+                    .run(request, connection);
+            site.writers.forEach(writer -> writer.script = (request, connection) -> {
+                if (request.method().equals("DELETE")) {
+                    releaseScript.run(request, connection);
                 } else {
-                    failed.set(System.nanoTime());
-                    line.answer(500, "");
+                    failedNs.set(System.nanoTime());
+                    connection.respond(500, "");
                 }
             });
             assertEquals(client.send(request("send", 4000)).read().status(), 502);
-            await("a server has confirmed the release", () -> heard.get() != 0);
-            assertTrue(heard.get() - failed.get() < 1_000_000_000L, "after " + (heard.get() - failed.get()) + " ns");
+            await("a server has confirmed the release", () -> confirmedNs.get() != 0);
+            assertTrue(
+                    confirmedNs.get() - failedNs.get() < 1_000_000_000L,
+                    "after " + (confirmedNs.get() - failedNs.get()) + " ns");
         }
     }
 
@@ -49,26 +54,26 @@
      * be reached, even if another server has confirmed the release before, and once more in case its read ends just then.
      */
     @Test
-    public void aReaderThatIsCutOffIsToldOnceItIsBack() throws Exception {
+    public void anUnreachableReaderGetsTheReleaseOnceItIsBack() throws Exception {
         try (Site site = new Site(1, 1)) {
-            CountDownLatch back = new CountDownLatch(1);
-            AtomicInteger told = new AtomicInteger();
+            CountDownLatch reachable = new CountDownLatch(1);
+            AtomicInteger releasesReceived = new AtomicInteger();
             StandIn reader = site.readers.get(0);
-            reader.script = (m, line) -> {
-                boolean cutOff = back.getCount() > 0;
-                back.await();
-                if (!cutOff && m.method().equals("DELETE")) {
-                    told.incrementAndGet();
-                    line.answer(204, "");
+            reader.script = (request, connection) -> {
+                boolean wasCutOff = reachable.getCount() > 0;
+                reachable.await();
+                if (!wasCutOff && request.method().equals("DELETE")) {
+                    releasesReceived.incrementAndGet();
+                    connection.respond(204, "");
                 }
             };
-            try (Line client = site.client()) {
+            try (RawConnection client = site.client()) {
                 client.send(request("ask", 60_000));
                 await("the reader has the attempt", () -> reader.attempts() == 1);
             }
             await("the writer got the release twice", () -> site.writers.get(0).releases() >= 2);
-            back.countDown();
-            await("the reader got the release twice", () -> told.get() >= 2);
+            reachable.countDown();
+            await("the reader got the release twice", () -> releasesReceived.get() >= 2);
         }
     }
 }
--- a/src/test/java/copperbeam/sockets/ReloadTest.java
+++ b/src/test/java/copperbeam/sockets/ReloadTest.java
@@ -14,13 +14,13 @@
 public class ReloadTest {
     /** The JVM does not handle a signal that its parent ignores: the program logs this at the start, before operators rely on it. */
     @Test
-    public void anIgnoredHangupIsToldAtTheStart() throws Exception {
-        for (String shell : List.of(":", "trap '' HUP")) {
-            try (StandIn server = new StandIn(Site::read);
+    public void anIgnoredHangupIsLoggedAtTheStart() throws Exception {
+        for (String shellPrelude : List.of(":", "trap '' HUP")) {
+            try (StandIn server = new StandIn(Site::answerAsReader);
                     StandIn discovery = Conductor.discovery(server, server);
-                    Conductor conductor = new Conductor(discovery, 1024, 192, List.of(), shell)) {
+                    Conductor conductor = new Conductor(discovery, 1024, 192, List.of(), shellPrelude)) {
                 conductor.awaitHealthy();
-                assertEquals(conductor.logged("SIGHUP is ignored"), !shell.equals(":"), shell);
+                assertEquals(conductor.logged("SIGHUP is ignored"), !shellPrelude.equals(":"), shellPrelude);
             }
         }
     }
@@ -29,46 +29,46 @@
     @SuppressWarnings("try") // the first discovery address is closed in the middle of the test
     @Test
     public void aHangupMovesDiscoveryAndDisturbsNothing() throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
-        try (StandIn reader = new StandIn(Site::read);
-                StandIn old = new StandIn(attempts((m, line) -> {
-                    go.await();
-                    Site.write(m, line);
+        CountDownLatch unblock = new CountDownLatch(1);
+        try (StandIn reader = new StandIn(Site::answerAsReader);
+                StandIn oldWriter = new StandIn(attempts((request, connection) -> {
+                    unblock.await();
+                    Site.answerAsWriter(request, connection);
                 }));
-                StandIn next = new StandIn(Site::write);
-                StandIn first = Conductor.discovery(reader, old);
-                StandIn second = Conductor.discovery(reader, next);
-                StandIn third = Conductor.discovery(reader, next);
-                Conductor conductor = new Conductor(first, 1024, 192)) {
+                StandIn newWriter = new StandIn(Site::answerAsWriter);
+                StandIn firstDiscovery = Conductor.discovery(reader, oldWriter);
+                StandIn secondDiscovery = Conductor.discovery(reader, newWriter);
+                StandIn thirdDiscovery = Conductor.discovery(reader, newWriter);
+                Conductor conductor = new Conductor(firstDiscovery, 1024, 192)) {
             conductor.awaitHealthy();
-            try (Line open = new Line(conductor.address);
-                    Line client = new Line(conductor.address)) {
-                open.send(request("ask", 60_000));
-                await("written", () -> old.attempts() == 1);
+            try (RawConnection openClient = new RawConnection(conductor.address);
+                    RawConnection client = new RawConnection(conductor.address)) {
+                openClient.send(request("ask", 60_000));
+                await("written", () -> oldWriter.attempts() == 1);
 
-                conductor.configure(second.host());
+                conductor.configure(secondDiscovery.hostAndPort());
                 conductor.signal("HUP");
                 await(
                         "watched at the new address",
-                        () -> second.count(m -> m.path().contains("from=7&")) > 0);
-                first.close();
+                        () -> secondDiscovery.count(request -> request.path().contains("from=7&")) > 0);
+                firstDiscovery.close();
                 assertEquals(client.send(request("send", 5000)).read().status(), 200);
-                assertEquals(next.attempts(), 1);
+                assertEquals(newWriter.attempts(), 1);
 
                 conductor.configure("nowhere");
                 conductor.signal("HUP");
                 await("the faulty key is logged", () -> conductor.logged("discovery: 'nowhere'"));
                 assertEquals(client.send(request("send", 5000)).read().status(), 200);
 
-                conductor.configure(third.host());
+                conductor.configure(thirdDiscovery.hostAndPort());
                 conductor.signal("HUP");
-                await("discovery has moved again", () -> third.seen.size() > 0);
+                await("discovery has moved again", () -> thirdDiscovery.requests.size() > 0);
                 conductor.signal("HUP");
                 conductor.signal("TERM");
-                go.countDown();
-                assertEquals(open.read().text(), Site.EVENTS);
+                unblock.countDown();
+                assertEquals(openClient.read().text(), Site.EVENTS);
             }
-            assertTrue(conductor.process.waitFor(Line.PATIENCE_MS, java.util.concurrent.TimeUnit.MILLISECONDS));
+            assertTrue(conductor.process.waitFor(RawConnection.TIMEOUT_MS, java.util.concurrent.TimeUnit.MILLISECONDS));
             assertEquals(conductor.process.exitValue(), 0);
         }
     }
--- a/src/test/java/copperbeam/sockets/RulesOnSocketsTest.java
+++ b/src/test/java/copperbeam/sockets/RulesOnSocketsTest.java
@@ -10,7 +10,7 @@
 import static org.testng.Assert.assertNull;
 import static org.testng.Assert.assertTrue;
 
-import copperbeam.transport.ClientRoom;
+import copperbeam.transport.ClientConnections;
 import copperbeam.transport.HttpFrontServer;
 import java.net.InetSocketAddress;
 import java.time.Clock;
@@ -32,29 +32,30 @@
 
 /** The rules of the platform, tested on real sockets. */
 public class RulesOnSocketsTest {
-    private static final int SETTLED_MS = 50; // longer than the 30 ms for which a kept connection rests before its next call
+    private static final int WAIT_FOR_REUSE_MS =
+            50; // longer than the 30 ms for which a kept connection rests before its next call
 
-    private static final StandIn.Script SILENT = attempts((m, line) -> {});
+    private static final StandIn.Script SILENT = attempts((message, connection) -> {});
 
     @Test
     public void eventsAreRelayedUnchangedAndConnectionsKept() throws Exception {
         try (Site site = new Site(1, 1);
-                Line client = site.client()) {
+                RawConnection client = site.client()) {
             for (int i = 0; i < 2; i++) {
-                Line.Message answer = client.send(
+                RawConnection.Message answer = client.send(
                                 request("id" + i, "ask", "5000m", "prefix=p,prompt_len=40", "{\"a\":1}"))
                         .read();
                 assertEquals(answer.status(), 200);
                 assertEquals(answer.text(), EVENTS);
-                Thread.sleep(SETTLED_MS);
+                Thread.sleep(WAIT_FOR_REUSE_MS);
             }
-            Line.Message passed = site.writers.get(0).seen.get(1);
-            assertEquals(passed.header("X-Request-ID"), "id1");
-            assertEquals(passed.text(), "{\"a\":1}");
-            assertEquals(passed.header("X-Attrs"), "prefix=p,prompt_len=40");
-            assertTrue(Integer.parseInt(passed.header("X-Timeout").replace("m", "")) < 5000);
-            assertEquals(site.readers.get(0).lines.size(), 1);
-            assertEquals(site.writers.get(0).lines.size(), 1);
+            RawConnection.Message forwarded = site.writers.get(0).requests.get(1);
+            assertEquals(forwarded.header("X-Request-ID"), "id1");
+            assertEquals(forwarded.text(), "{\"a\":1}");
+            assertEquals(forwarded.header("X-Attrs"), "prefix=p,prompt_len=40");
+            assertTrue(Integer.parseInt(forwarded.header("X-Timeout").replace("m", "")) < 5000);
+            assertEquals(site.readers.get(0).connections.size(), 1);
+            assertEquals(site.writers.get(0).connections.size(), 1);
         }
     }
 
@@ -63,29 +64,29 @@
     public void aLargeBodyIsPassedOnWhole() throws Exception {
         String body = "{\"a\":\"" + "x".repeat(250 * 1024) + "\"}";
         try (Site site = new Site(1, 1);
-                Line client = site.client()) {
+                RawConnection client = site.client()) {
             assertEquals(
                     client.send(request("id", "send", "5000m", "prompt_len=9", body))
                             .read()
                             .status(),
                     200);
-            assertEquals(site.writers.get(0).seen.get(0).text(), body);
+            assertEquals(site.writers.get(0).requests.get(0).text(), body);
         }
     }
 
     @Test
     public void eachEventIsPassedOnAtOnce() throws Exception {
-        CountDownLatch seen = new CountDownLatch(1);
+        CountDownLatch firstEventRead = new CountDownLatch(1);
         try (Site site = new Site(1, 1);
-                Line client = site.client()) {
-            site.writers.get(0).script = attempts((m, line) -> {
-                line.beginStream().chunk("data: 1\n\n");
-                seen.await();
-                line.chunk("data: 2\n\n").lastChunk();
+                RawConnection client = site.client()) {
+            site.writers.get(0).script = attempts((message, connection) -> {
+                connection.beginStream().sendChunk("data: 1\n\n");
+                firstEventRead.await();
+                connection.sendChunk("data: 2\n\n").sendLastChunk();
             });
-            client.send(request("ask", 5000)).head();
+            client.send(request("ask", 5000)).readHead();
             assertEquals(client.readChunk(), "data: 1\n\n");
-            seen.countDown();
+            firstEventRead.countDown();
             assertEquals(client.readChunk(), "data: 2\n\n");
             assertNull(client.readChunk());
         }
@@ -95,52 +96,53 @@
     @Test
     public void aSilentWriterIsAnsweredForInTime() throws Exception {
         try (Site site = new Site(1, 1);
-                Line client = site.client()) {
+                RawConnection client = site.client()) {
             site.writers.get(0).script = SILENT;
-            long from = System.nanoTime();
+            long startNs = System.nanoTime();
             assertEquals(client.send(request("send", 700)).read().status(), 504);
-            assertTrue(System.nanoTime() - from < 950_000_000L); // the deadline, the rule's slack, and some more for a busy machine
-            await("closed", () -> site.writers.get(0).lines.get(0).ended);
+            assertTrue(System.nanoTime() - startNs
+                    < 950_000_000L); // the deadline, the rule's slack, and some more for a busy machine
+            await("closed", () -> site.writers.get(0).connections.get(0).closedByStandIn);
         }
     }
 
     @DataProvider
     public Object[][] writersThatFail() {
-        StandIn.Script reset = attempts((m, line) -> line.reset());
+        StandIn.Script reset = attempts((message, connection) -> connection.reset());
         return new Object[][] {
             // class, what the first writer does, the client's status, attempts at writers
             {"send", reset, 502, 1},
-            {"send", attempts((m, line) -> line.answer(500, "")), 502, 1},
-            {"send", attempts((m, line) -> line.answer(503, "")), 502, 1},
-            {"send", attempts((m, line) -> line.answer(503, "", "X-Not-Processed: 1\r\n")), 200, 2},
-            {"send", attempts((m, line) -> line.answer(410, "", "X-Not-Processed: 1\r\n")), 200, 2},
+            {"send", attempts((message, connection) -> connection.respond(500, "")), 502, 1},
+            {"send", attempts((message, connection) -> connection.respond(503, "")), 502, 1},
+            {"send", attempts((message, connection) -> connection.respond(503, "", "X-Not-Processed: 1\r\n")), 200, 2},
+            {"send", attempts((message, connection) -> connection.respond(410, "", "X-Not-Processed: 1\r\n")), 200, 2},
             {
                 "send",
-                attempts((m, line) -> {
-                    line.beginStream();
-                    line.reset();
+                attempts((message, connection) -> {
+                    connection.beginStream();
+                    connection.reset();
                 }),
                 502,
                 1
             },
             {"ask", reset, 200, 2},
-            {"ask", attempts((m, line) -> line.answer(504, "")), 200, 2},
-            {"ask", attempts((m, line) -> line.answer(504, "", "X-Not-Processed: 1\r\n")), 200, 2},
+            {"ask", attempts((message, connection) -> connection.respond(504, "")), 200, 2},
+            {"ask", attempts((message, connection) -> connection.respond(504, "", "X-Not-Processed: 1\r\n")), 200, 2},
         };
     }
 
     /** Rule 2: a request that may have run is retried only if its class allows it. */
     @Test(dataProvider = "writersThatFail")
-    public void onlyWhatIsHarmlessIsSentAgain(String requestClass, StandIn.Script first, int status, int writes)
+    public void retriesOnlyWhereTheClassAllowsIt(String requestClass, StandIn.Script first, int status, int writes)
             throws Exception {
         try (Site site = new Site(1, 2);
-                Line client = site.client()) {
-            AtomicInteger turn = new AtomicInteger();
-            StandIn.Script script = (m, line) -> {
-                boolean fails = m.method().equals("POST") && turn.getAndIncrement() == 0;
-                (fails ? first : (StandIn.Script) Site::write).run(m, line);
+                RawConnection client = site.client()) {
+            AtomicInteger attemptCount = new AtomicInteger();
+            StandIn.Script script = (message, connection) -> {
+                boolean fails = message.method().equals("POST") && attemptCount.getAndIncrement() == 0;
+                (fails ? first : (StandIn.Script) Site::answerAsWriter).run(message, connection);
             };
-            site.writers.forEach(w -> w.script = script);
+            site.writers.forEach(writer -> writer.script = script);
             assertEquals(client.send(request(requestClass, 4000)).read().status(), status);
             assertEquals(site.attempts(site.writers), writes);
         }
@@ -152,7 +154,7 @@
         try (Site site = new Site(1, 2)) {
             site.writers.get(0).close();
             for (int i = 0; i < 4; i++) {
-                try (Line client = site.client()) {
+                try (RawConnection client = site.client()) {
                     assertEquals(client.send(request("send", 4000)).read().status(), 200);
                 }
             }
@@ -164,27 +166,27 @@
     @Test
     public void neverTwoAttemptsAtOnce() throws Exception {
         try (Site site = new Site(1, 2);
-                Line client = site.client()) {
-            AtomicInteger turn = new AtomicInteger();
-            AtomicReference<Line> first = new AtomicReference<>();
-            AtomicReference<Boolean> closed = new AtomicReference<>();
-            CountDownLatch over = new CountDownLatch(1);
-            StandIn.Script script = attempts((m, line) -> {
-                if (turn.getAndIncrement() == 0) {
-                    first.set(line);
-                    over.await();
+                RawConnection client = site.client()) {
+            AtomicInteger attemptCount = new AtomicInteger();
+            AtomicReference<RawConnection> firstConnection = new AtomicReference<>();
+            AtomicReference<Boolean> firstWasClosed = new AtomicReference<>();
+            CountDownLatch answered = new CountDownLatch(1);
+            StandIn.Script script = attempts((message, connection) -> {
+                if (attemptCount.getAndIncrement() == 0) {
+                    firstConnection.set(connection);
+                    answered.await();
                 } else {
                     // asks the socket itself, as a thread blocked on it may notice the close late
-                    closed.set(first.get().isClosed());
-                    Site.write(m, line);
+                    firstWasClosed.set(firstConnection.get().isClosedByPeer());
+                    Site.answerAsWriter(message, connection);
                 }
             });
             site.writers.forEach(w -> w.script = script);
-            String ask = request("ask", 8000).replace("Host: x", "Host: x\r\nConnection: close");
-            assertEquals(client.send(ask).read().status(), 200);
-            over.countDown();
+            String requestText = request("ask", 8000).replace("Host: x", "Host: x\r\nConnection: close");
+            assertEquals(client.send(requestText).read().status(), 200);
+            answered.countDown();
             assertEquals(site.attempts(site.writers), 2);
-            assertEquals(closed.get(), Boolean.TRUE);
+            assertEquals(firstWasClosed.get(), Boolean.TRUE);
         }
     }
 
@@ -192,11 +194,13 @@
     @Test
     public void aDrainingServerGetsNothingNew() throws Exception {
         try (Site site = new Site(2, 1)) {
-            site.changes.add(Site.entry(site.readers.get(0), "prefill", "leaving"));
-            await("next watch", () -> site.discovery.count(m -> m.path().contains("from=2&")) > 0);
+            site.listChanges.add(Site.entry(site.readers.get(0), "prefill", "leaving"));
+            await(
+                    "next watch",
+                    () -> site.discovery.count(message -> message.path().contains("from=2&")) > 0);
             long before = site.readers.get(0).attempts();
             for (int i = 0; i < 6; i++) {
-                try (Line client = site.client()) {
+                try (RawConnection client = site.client()) {
                     assertEquals(client.send(request("ask", 4000)).read().status(), 200);
                 }
             }
@@ -210,14 +214,14 @@
      * the final answer, after it. Guards against losing the release because the request has already been removed.
      */
     @Test
-    public void aStateIsLetGoWhenItsRequestFails() throws Exception {
+    public void aReadStateIsReleasedWhenItsRequestFails() throws Exception {
         try (Site site = new Site(1, 1);
-                Line client = site.client()) {
-            site.writers.get(0).script = attempts((m, line) -> line.answer(500, ""));
+                RawConnection client = site.client()) {
+            site.writers.get(0).script = attempts((message, connection) -> connection.respond(500, ""));
             assertEquals(
                     client.send(request("r1", "send", "4000m", "", "{}")).read().status(), 502);
             await("released", () -> site.releases() > 0);
-            assertEquals(site.readers.get(0).seen.get(1).path(), "/state/r1");
+            assertEquals(site.readers.get(0).requests.get(1).path(), "/state/r1");
         }
     }
 
@@ -226,22 +230,26 @@
      * that is then pending has had its timeout of 250 ms.
      */
     @Test
-    public void aStateIsLetGoWhileConnectionsFailToComeUp() throws Exception {
+    public void aReadStateIsReleasedWhileConnectsTimeOut() throws Exception {
         try (Site site = new Site(1, 1);
-                Line client = site.client();
-                StandIn gone = StandIn.vanished()) {
-            site.changes.add(
-                    Site.entry(site.writers.get(0), "decode", "left") + "," + Site.entry(gone, "decode", "active"));
-            await("next watch", () -> site.discovery.count(m -> m.path().contains("from=2&")) > 0);
-            AtomicLong read = new AtomicLong();
-            AtomicLong released = new AtomicLong();
-            site.readers.get(0).script = (m, line) -> {
-                Site.read(m, line);
-                (m.method().equals("DELETE") ? released : read).compareAndSet(0, System.nanoTime());
+                RawConnection client = site.client();
+                StandIn unreachable = StandIn.unreachable()) {
+            site.listChanges.add(Site.entry(site.writers.get(0), "decode", "left") + ","
+                    + Site.entry(unreachable, "decode", "active"));
+            await(
+                    "next watch",
+                    () -> site.discovery.count(message -> message.path().contains("from=2&")) > 0);
+            AtomicLong readNs = new AtomicLong();
+            AtomicLong releasedNs = new AtomicLong();
+            site.readers.get(0).script = (message, connection) -> {
+                Site.answerAsReader(message, connection);
+                (message.method().equals("DELETE") ? releasedNs : readNs).compareAndSet(0, System.nanoTime());
             };
             assertEquals(client.send(request("send", 4000)).read().status(), 503);
-            await("released", () -> released.get() != 0);
-            assertTrue(released.get() - read.get() < 750_000_000L, "held for " + (released.get() - read.get()) + " ns");
+            await("released", () -> releasedNs.get() != 0);
+            assertTrue(
+                    releasedNs.get() - readNs.get() < 750_000_000L,
+                    "held for " + (releasedNs.get() - readNs.get()) + " ns");
         }
     }
 
@@ -249,14 +257,14 @@
     @Test
     public void aReleaseIsTakenElsewhere() throws Exception {
         try (Site site = new Site(1, 1);
-                Line client = site.client()) {
+                RawConnection client = site.client()) {
             StandIn reader = site.readers.get(0);
-            reader.script = (m, line) -> {
-                if (m.method().equals("POST")) {
-                    Site.read(m, line);
+            reader.script = (message, connection) -> {
+                if (message.method().equals("POST")) {
+                    Site.answerAsReader(message, connection);
                 }
             };
-            site.writers.get(0).script = attempts((m, line) -> line.answer(500, ""));
+            site.writers.get(0).script = attempts((message, connection) -> connection.respond(500, ""));
             assertEquals(client.send(request("send", 4000)).read().status(), 502);
             await("released at the writer", () -> site.writers.get(0).releases() > 0);
         }
@@ -266,11 +274,11 @@
     public void aClientThatLeavesWhileWaitingEndsItsAttempt() throws Exception {
         try (Site site = new Site(1, 1)) {
             site.readers.get(0).script = SILENT;
-            try (Line client = site.client()) {
+            try (RawConnection client = site.client()) {
                 client.send(request("ask", 60_000));
                 await("read", () -> site.readers.get(0).attempts() == 1);
             }
-            await("closed", () -> site.readers.get(0).lines.get(0).ended);
+            await("closed", () -> site.readers.get(0).connections.get(0).closedByStandIn);
             // the second release comes after the close: the read may have completed just as its connection was closed
             await("released twice", () -> site.releases() >= 2);
             assertEquals(site.attempts(site.writers), 0);
@@ -281,29 +289,29 @@
     public void aClientThatLeavesAStreamEndsIt() throws Exception {
         try (Site site = new Site(1, 1)) {
             site.writers.get(0).script =
-                    attempts((m, line) -> line.beginStream().chunk("data: 1\n\n"));
-            try (Line client = site.client()) {
-                client.send(request("send", 8000)).head();
+                    attempts((message, connection) -> connection.beginStream().sendChunk("data: 1\n\n"));
+            try (RawConnection client = site.client()) {
+                client.send(request("send", 8000)).readHead();
                 assertEquals(client.readChunk(), "data: 1\n\n");
             }
-            await("closed", () -> site.writers.get(0).lines.get(0).ended);
+            await("closed", () -> site.writers.get(0).connections.get(0).closedByStandIn);
             assertEquals(site.attempts(site.writers), 1);
         }
     }
 
     @Test
     public void aBrokenStreamEndsWithoutTheLastChunk() throws Exception {
-        CountDownLatch seen = new CountDownLatch(1);
+        CountDownLatch firstEventRead = new CountDownLatch(1);
         try (Site site = new Site(1, 1);
-                Line client = site.client()) {
-            site.writers.get(0).script = attempts((m, line) -> {
-                line.beginStream().chunk("data: 1\n\n");
-                seen.await();
-                line.close();
+                RawConnection client = site.client()) {
+            site.writers.get(0).script = attempts((message, connection) -> {
+                connection.beginStream().sendChunk("data: 1\n\n");
+                firstEventRead.await();
+                connection.close();
             });
-            client.send(request("ask", 8000)).head();
+            client.send(request("ask", 8000)).readHead();
             assertEquals(client.readChunk(), "data: 1\n\n");
-            seen.countDown();
+            firstEventRead.countDown();
             assertEquals(client.readChunk(), "");
             assertEquals(site.attempts(site.writers), 1);
         }
@@ -313,26 +321,26 @@
     @Test
     public void aSlowClientHoldsItsServerBack() throws Exception {
         try (Site site = new Site(1, 1);
-                Line client = site.client()) {
+                RawConnection client = site.client()) {
             String event = "data: " + "x".repeat(8000) + "\n\n";
             AtomicInteger sent = new AtomicInteger();
-            int all = 4000;
-            site.writers.get(0).script = attempts((m, line) -> {
-                line.beginStream();
-                while (sent.incrementAndGet() < all) {
-                    line.chunk(event);
+            int eventCount = 4000;
+            site.writers.get(0).script = attempts((message, connection) -> {
+                connection.beginStream();
+                while (sent.incrementAndGet() < eventCount) {
+                    connection.sendChunk(event);
                 }
-                line.lastChunk();
+                connection.sendLastChunk();
             });
-            client.send(request("ask", 8000)).head();
-            int[] last = {-1};
+            client.send(request("ask", 8000)).readHead();
+            int[] lastSent = {-1};
             await("standstill", () -> {
-                boolean still = last[0] == sent.get();
-                last[0] = sent.get();
+                boolean unchanged = lastSent[0] == sent.get();
+                lastSent[0] = sent.get();
                 pause();
-                return still;
+                return unchanged;
             });
-            assertTrue(sent.get() < all);
+            assertTrue(sent.get() < eventCount);
             String chunk = client.readChunk();
             while (chunk != null && !chunk.isEmpty()) {
                 chunk = client.readChunk();
@@ -353,21 +361,21 @@
     @Test
     public void idleConnectionsAreClosedEarly() throws Exception {
         try (Site site = new Site(1, 1, 2);
-                Line client = site.client()) {
+                RawConnection client = site.client()) {
             assertEquals(client.send(request("send", 4000)).read().status(), 200);
-            long from = System.nanoTime();
-            await("closed", () -> site.readers.get(0).lines.get(0).ended);
-            assertTrue(System.nanoTime() - from < 1_900_000_000L);
+            long startNs = System.nanoTime();
+            await("closed", () -> site.readers.get(0).connections.get(0).closedByStandIn);
+            assertTrue(System.nanoTime() - startNs < 1_900_000_000L);
         }
     }
 
     /** The system clock plus an offset that the test sets. */
-    private static final class Ahead extends Clock {
-        volatile Duration by = Duration.ZERO;
+    private static final class OffsetClock extends Clock {
+        volatile Duration offset = Duration.ZERO;
 
         @Override
         public Instant instant() {
-            return Instant.now().plus(by);
+            return Instant.now().plus(offset);
         }
 
         @Override
@@ -387,64 +395,68 @@
      */
     @Test
     public void clientsBeyondTheLimitMakeRoomOrAreRefused() throws Exception {
-        List<CountDownLatch> go =
+        List<CountDownLatch> releases =
                 Stream.generate(() -> new CountDownLatch(1)).limit(5).toList(); // in order of arrival
-        AtomicInteger slowOnes = new AtomicInteger();
+        AtomicInteger slowRequests = new AtomicInteger();
         AtomicInteger ended = new AtomicInteger(); // slow requests that the server also counts as ended
-        Ahead clock = new Ahead();
-        ClientRoom room = new ClientRoom(4, 1 << 20);
+        OffsetClock clock = new OffsetClock();
+        ClientConnections room = new ClientConnections(4, 1 << 20);
         try (HttpFrontServer server = new HttpFrontServer(
                 (call, reply) -> {
                     if (call.path().equals("/slow")) {
-                        CountDownLatch turn = go.get(slowOnes.getAndIncrement());
+                        CountDownLatch release = releases.get(slowRequests.getAndIncrement());
                         new Thread(() -> {
-                                    hold(turn);
-                                    reply.whole(200, "text/plain", Map.of(), new byte[0]);
+                                    awaitLatch(release);
+                                    reply.respond(200, "text/plain", Map.of(), new byte[0]);
                                     ended.incrementAndGet();
                                 })
                                 .start();
                     } else {
-                        reply.whole(200, "text/plain", Map.of(), new byte[0]);
+                        reply.respond(200, "text/plain", Map.of(), new byte[0]);
                     }
                     return () -> {};
                 },
                 clock,
                 room,
                 (c, status) -> {})) {
-            InetSocketAddress at = server.listen(new InetSocketAddress("127.0.0.1", 0), false);
+            InetSocketAddress address = server.listen(new InetSocketAddress("127.0.0.1", 0), false);
             String slow = "GET /slow HTTP/1.1\r\nHost: x\r\n\r\n";
-            List<Line> all = new ArrayList<>();
-            Line idle = new Line(at);
-            all.add(idle);
+            List<RawConnection> clients = new ArrayList<>();
+            RawConnection idle = new RawConnection(address);
+            clients.add(idle);
             assertEquals(idle.send(slow.replace("slow", "")).read().header("Connection"), null);
             for (int i = 1; i <= 4; i++) {
-                int busy = i;
-                all.add(new Line(at).send(slow));
-                await("busy " + i, () -> slowOnes.get() == busy);
+                int busyCount = i;
+                clients.add(new RawConnection(address).send(slow));
+                await("busy " + i, () -> slowRequests.get() == busyCount);
             }
-            clock.by = Duration.ofSeconds(3); // idle long enough to be closed; 9 descriptors (1 idle, 2 per request) exceed the limit of 8
-            Line.Message refused = new Line(at).send(slow).read();
+            clock.offset = Duration.ofSeconds(
+                    3); // idle long enough to be closed; 9 descriptors (1 idle, 2 per request) exceed the limit of 8
+            RawConnection.Message refused =
+                    new RawConnection(address).send(slow).read();
             assertEquals(refused.status(), 503);
             assertEquals(refused.header("Retry-After"), "1");
             assertTrue(idle.awaitClosed());
             // one after another, as each that closes makes room: the last two find half of it free
             for (int i = 0; i < 4; i++) {
-                int left = 4 - i;
-                // a client may have its answer, and its connection may be closed, before the thread that answered counts
+                int remaining = 4 - i;
+                // a client may have its answer, and its connection may be closed, before the thread that answered
+                // counts
                 // the request as ended
-                await("those before have left", () -> room.size() == left && ended.get() == 4 - left);
-                go.get(i).countDown();
-                Line.Message answer = all.get(i + 1).read();
+                await("those before have left", () -> room.size() == remaining && ended.get() == 4 - remaining);
+                releases.get(i).countDown();
+                RawConnection.Message answer = clients.get(i + 1).read();
                 assertEquals(answer.status(), 200);
-                assertEquals(answer.header("Connection"), i < 2 ? "close" : null, "closed while more than half is in use");
+                assertEquals(
+                        answer.header("Connection"), i < 2 ? "close" : null, "closed while more than half is in use");
                 if (i >= 2) {
-                    all.get(i + 1).close();
+                    clients.get(i + 1).close();
                 }
             }
         }
     }
 
-    private static void hold(CountDownLatch latch) {
+    private static void awaitLatch(CountDownLatch latch) {
         try {
             latch.await();
         } catch (InterruptedException e) {
@@ -454,19 +466,19 @@
 
     @DataProvider
     public Object[][] malformed() {
-        String ok = "prompt_len=4";
+        String validAttrs = "prompt_len=4";
         return new Object[][] {
-            {request("a", "nobody", "100m", ok, "{}"), 400},
-            {request("", "ask", "100m", ok, "{}"), 400},
-            {request("a/b", "ask", "100m", ok, "{}"), 400},
-            {request("a", "ask", "soon", ok, "{}"), 400},
+            {request("a", "nobody", "100m", validAttrs, "{}"), 400},
+            {request("", "ask", "100m", validAttrs, "{}"), 400},
+            {request("a/b", "ask", "100m", validAttrs, "{}"), 400},
+            {request("a", "ask", "soon", validAttrs, "{}"), 400},
             {request("a", "ask", "100m", "prompt_len=many", "{}"), 400},
-            {request("a", "ask", "100m", ok, "{"), 400},
-            {request("a", "ask", "100m", ok, "[]"), 400},
-            {request("a", "ask", "100m", ok, "{} {}"), 400},
-            {request("a", "ask", "100m", ok, "{\"a\":\"" + "x".repeat(256 * 1024) + "\"}"), 413},
-            {request("a", "ask", "100m", ok, "{}").replace("POST", "PUT"), 405},
-            {request("a", "ask", "100m", ok, "{}").replace("/v1/chat", "/v2/chat"), 404},
+            {request("a", "ask", "100m", validAttrs, "{"), 400},
+            {request("a", "ask", "100m", validAttrs, "[]"), 400},
+            {request("a", "ask", "100m", validAttrs, "{} {}"), 400},
+            {request("a", "ask", "100m", validAttrs, "{\"a\":\"" + "x".repeat(256 * 1024) + "\"}"), 413},
+            {request("a", "ask", "100m", validAttrs, "{}").replace("POST", "PUT"), 405},
+            {request("a", "ask", "100m", validAttrs, "{}").replace("/v1/chat", "/v2/chat"), 404},
             {"POST / HTTP/1.1\r\nno colon here\r\n\r\n", 400},
             {"nonsense\r\n\r\n", 400},
         };
@@ -475,8 +487,8 @@
     @Test(dataProvider = "malformed")
     public void malformedInputIsAPlain4xxAndNoAttempt(String text, int status) throws Exception {
         try (Site site = new Site(1, 1)) {
-            try (Line client = site.client()) {
-                Line.Message answer = client.send(text).read();
+            try (RawConnection client = site.client()) {
+                RawConnection.Message answer = client.send(text).read();
                 assertNotNull(answer);
                 assertEquals(answer.status(), status);
             }
@@ -491,56 +503,56 @@
      */
     @Test
     public void aStopAnswersWhatWasTaken() throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
+        CountDownLatch unblock = new CountDownLatch(1);
         try (Site site = new Site(1, 1);
-                Line first = site.client();
-                Line idle = site.client()) {
-            site.writers.get(0).script = attempts((m, line) -> {
-                go.await();
-                Site.write(m, line);
+                RawConnection first = site.client();
+                RawConnection idle = site.client()) {
+            site.writers.get(0).script = attempts((message, connection) -> {
+                unblock.await();
+                Site.answerAsWriter(message, connection);
             });
             first.send(request("ask", 8000));
             await("written", () -> site.attempts(site.writers) == 1);
-            Thread stop = site.beginStop();
+            Thread stopThread = site.beginStop();
             await("not healthy", () -> site.get("/healthz").status() == 503);
-            try (Line late = site.client()) {
+            try (RawConnection late = site.client()) {
                 late.send(request("ask", 8000));
                 await("late one written", () -> site.attempts(site.writers) == 2);
-                go.countDown();
-                for (Line client : List.of(first, late)) {
-                    Line.Message answer = client.read();
+                unblock.countDown();
+                for (RawConnection client : List.of(first, late)) {
+                    RawConnection.Message answer = client.read();
                     assertEquals(answer.text(), EVENTS);
                     assertEquals(answer.header("Connection"), "close");
                     assertTrue(client.awaitClosed());
                 }
             }
-            stop.join(Line.PATIENCE_MS);
-            assertFalse(stop.isAlive());
+            stopThread.join(RawConnection.TIMEOUT_MS);
+            assertFalse(stopThread.isAlive());
             assertTrue(idle.awaitClosed());
         }
     }
 
     /** Guards against requests that are still open at the kill: those that would last longer are ended in time. */
     @Test
-    public void aStopHandsOverWhatWouldLastTooLong() throws Exception {
+    public void aStopEndsRequestsThatWouldLastTooLong() throws Exception {
         try (Site site = new Site(1, 1);
-                Line stream = site.client();
-                Line kept = site.client();
-                Line read = site.client();
-                Line write = site.client();
-                Line rest = site.client();
-                Line unread = site.client()) {
+                RawConnection stream = site.client();
+                RawConnection kept = site.client();
+                RawConnection read = site.client();
+                RawConnection write = site.client();
+                RawConnection resuming = site.client();
+                RawConnection unread = site.client()) {
             StandIn writer = site.writers.get(0);
-            writer.script = attempts((m, line) -> {
-                line.beginStream().chunk("data: 1\n\n");
+            writer.script = attempts((message, connection) -> {
+                connection.beginStream().sendChunk("data: 1\n\n");
                 await(
                         "the stop, after which only the stream of request kept ends",
-                        () -> m.header("X-Request-ID").equals("kept")
+                        () -> message.header("X-Request-ID").equals("kept")
                                 && site.get("/healthz").status() == 503);
-                line.lastChunk();
+                connection.sendLastChunk();
             });
-            kept.send(request("kept", "ask", "60000m", "", "{}")).head();
-            stream.send(request("stream", "ask", "60000m", "", "{}")).head();
+            kept.send(request("kept", "ask", "60000m", "", "{}")).readHead();
+            stream.send(request("stream", "ask", "60000m", "", "{}")).readHead();
             await("both stream", () -> site.attempts(site.writers) == 2);
             writer.script = SILENT;
             write.send(request("write", "send", "60000m", "", "{}"));
@@ -548,13 +560,13 @@
             site.readers.get(0).script = SILENT;
             read.send(request("read", "ask", "60000m", "", "{}"));
             await("read", () -> site.attempts(site.readers) == 4);
-            rest.send(request("rest", "send", "60000m", "", "{}")
+            resuming.send(request("rest", "send", "60000m", "", "{}")
                     .replace("X-Route-Key", "X-Retried: again\r\nX-Route-Key"));
             await("the fifth read is sent", () -> site.attempts(site.readers) == 5);
             unread.send(request("unread", "send", "60000m", "", "{}"));
             await("the sixth read is sent", () -> site.attempts(site.readers) == 6);
-            long from = System.nanoTime();
-            Thread stop = site.beginStop();
+            long startNs = System.nanoTime();
+            Thread stopThread = site.beginStop();
             // the stream began before the stop, so that its head has no "Connection: close"
             assertEquals(kept.readChunk(), "data: 1\n\n");
             assertNull(kept.readChunk());
@@ -562,12 +574,15 @@
             assertEquals(read.read().status(), 503);
             assertEquals(write.read().status(), 502);
             assertEquals(unread.read().status(), 503);
-            assertEquals(rest.read().status(), 502, "the client asks for the rest of a broken stream, so that the request has run");
+            assertEquals(
+                    resuming.read().status(),
+                    502,
+                    "the client asks for the rest of a broken stream, so that the request has run");
             assertEquals(stream.readChunk(), "data: 1\n\n");
             assertEquals(stream.readChunk(), "");
-            stop.join(Line.PATIENCE_MS);
-            assertFalse(stop.isAlive());
-            assertTrue(System.nanoTime() - from < 3_600_000_000L);
+            stopThread.join(RawConnection.TIMEOUT_MS);
+            assertFalse(stopThread.isAlive());
+            assertTrue(System.nanoTime() - startNs < 3_600_000_000L);
         }
     }
 
@@ -576,23 +591,23 @@
      * they cannot be retried.
      */
     @Test
-    public void whatMustNotRunTwiceRisksNoKeptConnection() throws Exception {
+    public void unsafeRequestsUseNewConnections() throws Exception {
         try (Site site = new Site(1, 1);
-                Line client = site.client()) {
+                RawConnection client = site.client()) {
             StandIn writer = site.writers.get(0);
-            Map<Line, Integer> turns = new ConcurrentHashMap<>();
-            writer.script = attempts((m, line) -> {
-                if (turns.merge(line, 1, Integer::sum) > 1) {
-                    line.reset();
+            Map<RawConnection, Integer> requestCounts = new ConcurrentHashMap<>();
+            writer.script = attempts((message, connection) -> {
+                if (requestCounts.merge(connection, 1, Integer::sum) > 1) {
+                    connection.reset();
                 } else {
-                    Site.write(m, line);
+                    Site.answerAsWriter(message, connection);
                 }
             });
             for (int i = 0; i < 3; i++) {
                 assertEquals(client.send(request("send", 4000)).read().status(), 200);
             }
             assertEquals(writer.attempts(), 3);
-            Thread.sleep(SETTLED_MS);
+            Thread.sleep(WAIT_FOR_REUSE_MS);
             // one that may run twice uses a kept connection, and is retried after the reset
             assertEquals(client.send(request("ask", 4000)).read().status(), 200);
             assertEquals(writer.attempts(), 5);
@@ -604,17 +619,19 @@
      * it has observed.
      */
     @Test
-    public void connectionsAreKeptForHalfOfWhatTheirServerBears() throws Exception {
+    public void connectionsAreKeptForHalfOfTheObservedIdleTime() throws Exception {
         try (Site site = new Site(1, 1);
-                Line client = site.client()) {
+                RawConnection client = site.client()) {
             StandIn reader = site.readers.get(0);
             assertEquals(client.send(request("ask", 4000)).read().status(), 200);
             pause();
             pause();
-            reader.lines.get(0).close();
+            reader.connections.get(0).close();
             pause();
             assertEquals(client.send(request("ask", 4000)).read().status(), 200);
-            await("closed by the conductor", () -> reader.lines.size() == 2 && reader.lines.get(1).ended);
+            await(
+                    "closed by the conductor",
+                    () -> reader.connections.size() == 2 && reader.connections.get(1).closedByStandIn);
         }
     }
 }
--- a/src/test/java/copperbeam/sockets/SilentWatchTest.java
+++ b/src/test/java/copperbeam/sockets/SilentWatchTest.java
@@ -20,10 +20,10 @@
 
 /** A watch over real sockets, which is repeated after a silence or a failure. */
 public class SilentWatchTest {
-    private static final String ENTRY = "\n  {\n    \"id\" : \"a\",\r\n\t\"addr\" : \"127.0.0.1:1\",\n\n"
+    private static final String ENTRY_FORMAT = "\n  {\n    \"id\" : \"a\",\r\n\t\"addr\" : \"127.0.0.1:1\",\n\n"
             + "    \"zone\" : \"z\", \"kind\" : \"k\", \"state\" : \"%s\"\n  }\n";
 
-    private static String list(int version, boolean full, String entries) {
+    private static String listJson(int version, boolean full, String entries) {
         return "{\n  \"version\" : " + version + ",\n\t\"full\" : " + full + ",\r\n  \"servers\" : [" + entries
                 + "]\n}\n";
     }
@@ -35,38 +35,40 @@
      */
     @Test
     public void halfAnAnswerAndARefusalHideNoDrain() throws Exception {
-        ScheduledExecutorService turns = Executors.newSingleThreadScheduledExecutor();
-        List<Entry> heard = new CopyOnWriteArrayList<>();
+        ScheduledExecutorService scheduler = Executors.newSingleThreadScheduledExecutor();
+        List<Entry> reportedEntries = new CopyOnWriteArrayList<>();
         Backoff backoff = new Backoff(Duration.ofMillis(100), Duration.ofMillis(100), new SplittableRandom(1));
         try (ClientReactor reactor = new ClientReactor();
                 StandIn agent = new StandIn(null)) {
-            agent.script = (m, line) -> {
-                switch (agent.seen.size()) {
-                    case 1 -> line.answer(200, list(7, true, String.format(ENTRY, "active")));
+            agent.script = (request, connection) -> {
+                switch (agent.requests.size()) {
+                    case 1 -> connection.respond(200, listJson(7, true, String.format(ENTRY_FORMAT, "active")));
                     case 2 -> {
-                        line.send("HTTP/1.1 200 OK\r\nContent-Length: 1000\r\n\r\n"
-                                + list(8, false, "").substring(0, 30));
-                        while (!line.ended) {
-                            line.send(" ");
+                        connection.send("HTTP/1.1 200 OK\r\nContent-Length: 1000\r\n\r\n"
+                                + listJson(8, false, "").substring(0, 30));
+                        while (!connection.closedByStandIn) {
+                            connection.send(" ");
                             Thread.sleep(300);
                         }
                     }
-                    case 3 -> line.close();
-                    default -> line.answer(200, list(8, false, String.format(ENTRY, "leaving")));
+                    case 3 -> connection.close();
+                    default -> connection.respond(200, listJson(8, false, String.format(ENTRY_FORMAT, "leaving")));
                 }
             };
             DiscoveryWatch watch = new DiscoveryWatch(
-                    turns, new PlainHttpClient(reactor), Clock.systemUTC(), agent.address(), null, false, backoff);
-            watch.start(change -> heard.addAll(change.entries()));
-            await("listed", () -> heard.size() == 1);
-            await("the watch is called", () -> agent.seen.size() >= 2);
-            long from = System.nanoTime();
-            await("the drain", () -> heard.stream().anyMatch(e -> e.member().state() == ServerState.DRAINING));
-            assertTrue(System.nanoTime() - from < 5_000_000_000L, "by far sooner than 6 s after the silence began");
-            assertTrue(agent.lines.size() >= 3, "each on a connection of its own");
+                    scheduler, new PlainHttpClient(reactor), Clock.systemUTC(), agent.address(), null, false, backoff);
+            watch.start(change -> reportedEntries.addAll(change.entries()));
+            await("listed", () -> reportedEntries.size() == 1);
+            await("the watch is called", () -> agent.requests.size() >= 2);
+            long startNs = System.nanoTime();
+            await(
+                    "the drain",
+                    () -> reportedEntries.stream().anyMatch(e -> e.member().state() == ServerState.DRAINING));
+            assertTrue(System.nanoTime() - startNs < 5_000_000_000L, "by far sooner than 6 s after the silence began");
+            assertTrue(agent.connections.size() >= 3, "each on a connection of its own");
             watch.stop();
         } finally {
-            turns.shutdownNow();
+            scheduler.shutdownNow();
         }
     }
 
@@ -76,27 +78,32 @@
      */
     @Test
     public void aFailureOnOneChangeEndsNoWatch() throws Exception {
-        ScheduledExecutorService turns = Executors.newSingleThreadScheduledExecutor();
-        List<Entry> heard = new CopyOnWriteArrayList<>();
+        ScheduledExecutorService scheduler = Executors.newSingleThreadScheduledExecutor();
+        List<Entry> reportedEntries = new CopyOnWriteArrayList<>();
         Backoff backoff = new Backoff(Duration.ofMillis(100), Duration.ofMillis(100), new SplittableRandom(1));
         try (ClientReactor reactor = new ClientReactor();
                 StandIn agent = new StandIn(null)) {
-            agent.script = (m, line) -> {
-                boolean whole = agent.seen.size() == 1;
-                line.answer(200, list(agent.seen.size(), whole, String.format(ENTRY, whole ? "active" : "leaving")));
+            agent.script = (request, connection) -> {
+                boolean isFullList = agent.requests.size() == 1;
+                connection.respond(
+                        200,
+                        listJson(
+                                agent.requests.size(),
+                                isFullList,
+                                String.format(ENTRY_FORMAT, isFullList ? "active" : "leaving")));
             };
             DiscoveryWatch watch = new DiscoveryWatch(
-                    turns, new PlainHttpClient(reactor), Clock.systemUTC(), agent.address(), null, false, backoff);
+                    scheduler, new PlainHttpClient(reactor), Clock.systemUTC(), agent.address(), null, false, backoff);
             watch.start(change -> {
-                if (agent.seen.size() == 1) {
+                if (agent.requests.size() == 1) {
                     throw new NoClassDefFoundError("thrown by the test");
                 }
-                heard.addAll(change.entries());
+                reportedEntries.addAll(change.entries());
             });
-            await("the drain", 6000, () -> !heard.isEmpty());
+            await("the drain", 6000, () -> !reportedEntries.isEmpty());
             watch.stop();
         } finally {
-            turns.shutdownNow();
+            scheduler.shutdownNow();
         }
     }
 }
--- a/src/test/java/copperbeam/sockets/Site.java
+++ b/src/test/java/copperbeam/sockets/Site.java
@@ -34,7 +34,7 @@
             data: [DONE]
 
             """;
-    static final String SETTINGS = """
+    static final String SETTINGS_FORMAT = """
             {"balancers":1,"kinds":["prefill","decode"],
              "services":[{"name":"ask","promise_s":1.5,"semantics":"safe","worth":3},
                          {"name":"send","promise_s":3,"semantics":"unsafe","worth":2}],
@@ -46,8 +46,8 @@
 
     final List<StandIn> readers = new ArrayList<>();
     final List<StandIn> writers = new ArrayList<>();
-    final LinkedBlockingQueue<String> changes = new LinkedBlockingQueue<>();
-    final StandIn discovery = new StandIn(this::discover);
+    final LinkedBlockingQueue<String> listChanges = new LinkedBlockingQueue<>();
+    final StandIn discovery = new StandIn(this::serveDiscovery);
     final Node node;
     private volatile long version = 1;
     private boolean closed;
@@ -66,7 +66,7 @@
 
     /** {@code etcd} null: the server list comes from the platform's discovery service. */
     Site(int readerCount, int writerCount, double idleS, Config.Etcd etcd, List<RequestHook> hooks) throws Exception {
-        this(readerCount, writerCount, idleS, etcd, hooks, Config.Limits.USUAL);
+        this(readerCount, writerCount, idleS, etcd, hooks, Config.Limits.DEFAULT);
     }
 
     Site(
@@ -91,12 +91,12 @@
             Duration connectTimeout)
             throws Exception {
         for (int i = 0; i < readerCount; i++) {
-            readers.add(new StandIn(Site::read));
+            readers.add(new StandIn(Site::answerAsReader));
         }
         for (int i = 0; i < writerCount; i++) {
-            writers.add(new StandIn(Site::write));
+            writers.add(new StandIn(Site::answerAsWriter));
         }
-        InetSocketAddress any = new InetSocketAddress("127.0.0.1", 0);
+        InetSocketAddress anyPort = new InetSocketAddress("127.0.0.1", 0);
         ChatModels models = new ChatModels(Map.of(
                 "m-ask",
                 new ChatModels.Model("ask", Duration.ofSeconds(2), 100),
@@ -104,8 +104,8 @@
                 new ChatModels.Model("send", Duration.ofSeconds(2), 100)));
         node = new Node(new Config(
                 "n0",
-                any,
-                etcd == null ? any : null,
+                anyPort,
+                etcd == null ? anyPort : null,
                 null,
                 discovery.address(),
                 7,
@@ -114,7 +114,7 @@
                 connectTimeout,
                 Duration.ofMillis((long) (idleS * 1000)),
                 limits,
-                new Config.Operator(any, models, etcd, hooks)));
+                new Config.Operator(anyPort, models, etcd, hooks)));
         if (etcd == null) {
             await("listening", () -> node.address().getPort() != 0 && node.chatAddress() != null);
             await("healthy", () -> get("/healthz").status() == 200);
@@ -122,56 +122,56 @@
     }
 
     static Api.Settings settings(double idleS) throws Exception {
-        return parsed(String.format(SETTINGS, idleS));
+        return parseSettings(String.format(SETTINGS_FORMAT, idleS));
     }
 
     @SuppressWarnings("unchecked")
-    static Api.Settings parsed(String settings) throws Exception {
+    static Api.Settings parseSettings(String settings) throws Exception {
         return Decoder.settings((Map<String, Object>) Json.GSON.fromJson(settings, Map.class));
     }
 
-    static void read(Line.Message m, Line line) throws Exception {
-        if (m.method().equals("DELETE")) {
-            line.answer(204, "");
+    static void answerAsReader(RawConnection.Message request, RawConnection connection) throws Exception {
+        if (request.method().equals("DELETE")) {
+            connection.respond(204, "");
         } else {
-            line.answer(202, "{\"cached_tokens\":0}");
+            connection.respond(202, "{\"cached_tokens\":0}");
         }
     }
 
-    static void write(Line.Message m, Line line) throws Exception {
-        if (m.method().equals("DELETE")) {
-            line.answer(204, "");
+    static void answerAsWriter(RawConnection.Message request, RawConnection connection) throws Exception {
+        if (request.method().equals("DELETE")) {
+            connection.respond(204, "");
         } else {
-            line.beginStream().chunk(EVENTS).lastChunk();
+            connection.beginStream().sendChunk(EVENTS).sendLastChunk();
         }
     }
 
     /** Accepts releases (DELETE) and leaves all other requests to {@code script}. */
     static StandIn.Script attempts(StandIn.Script script) {
-        return (m, line) -> {
-            if (m.method().equals("DELETE")) {
-                line.answer(204, "");
+        return (request, connection) -> {
+            if (request.method().equals("DELETE")) {
+                connection.respond(204, "");
             } else {
-                script.run(m, line);
+                script.run(request, connection);
             }
         };
     }
 
-    private void discover(Line.Message m, Line line) throws Exception {
-        if (!m.path().contains("from=")) {
-            line.answer(200, list(true));
+    private void serveDiscovery(RawConnection.Message request, RawConnection connection) throws Exception {
+        if (!request.path().contains("from=")) {
+            connection.respond(200, serverList(true));
             return;
         }
-        String change = changes.poll(3, TimeUnit.SECONDS);
+        String change = listChanges.poll(3, TimeUnit.SECONDS);
         if (change != null) {
             version++;
         }
-        line.answer(
+        connection.respond(
                 200,
                 "{\"version\":" + version + ",\"full\":false,\"servers\":[" + (change == null ? "" : change) + "]}");
     }
 
-    private String list(boolean full) {
+    private String serverList(boolean full) {
         List<String> entries = new ArrayList<>();
         readers.forEach(s -> entries.add(entry(s, "prefill", "active")));
         writers.forEach(s -> entries.add(entry(s, "decode", "active")));
@@ -182,12 +182,14 @@
         return String.format(
                 "{\"id\":\"s%d\",\"addr\":\"%s\",\"zone\":\"a\",\"kind\":\"%s\",\"cell\":0,"
                         + "\"state\":\"%s\",\"weight\":1.0,\"started_ms\":0}",
-                server.address().getPort(), server.host(), kind, state);
+                server.address().getPort(), server.hostAndPort(), kind, state);
     }
 
-    Line.Message get(String path) {
-        try (Line line = new Line(node.address())) {
-            return line.send("GET " + path + " HTTP/1.1\r\nHost: x\r\n\r\n").read();
+    RawConnection.Message get(String path) {
+        try (RawConnection connection = new RawConnection(node.address())) {
+            return connection
+                    .send("GET " + path + " HTTP/1.1\r\nHost: x\r\n\r\n")
+                    .read();
         } catch (java.io.IOException e) {
             throw new java.io.UncheckedIOException(e);
         }
@@ -203,39 +205,39 @@
                 + "\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
-    static String chat(String model, boolean stream, String more) {
-        String body = "{\"model\":\"" + model + "\",\"stream\":" + stream + more
+    static String chatRequest(String model, boolean stream, String extraFields) {
+        String body = "{\"model\":\"" + model + "\",\"stream\":" + stream + extraFields
                 + ",\"messages\":[{\"role\":\"system\",\"content\":\"be kind\"},{\"role\":\"user\",\"content\":\"hi\"}]}";
-        return post(body);
+        return postRequest(body);
     }
 
-    static String post(String body) {
+    static String postRequest(String body) {
         return "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
     /** Stops the node on a new thread, which ends when the stop is complete. */
     Thread beginStop() {
-        Thread stop = new Thread(() -> {
+        Thread stopThread = new Thread(() -> {
             try {
                 node.stop();
             } catch (InterruptedException e) {
                 throw new AssertionError(e);
             }
         });
-        stop.start();
-        return stop;
+        stopThread.start();
+        return stopThread;
     }
 
-    Line client() throws Exception {
-        return new Line(node.address());
+    RawConnection client() throws Exception {
+        return new RawConnection(node.address());
     }
 
-    Line chatClient() throws Exception {
-        return new Line(node.chatAddress());
+    RawConnection chatClient() throws Exception {
+        return new RawConnection(node.chatAddress());
     }
 
-    long attempts(List<StandIn> at) {
-        return at.stream().mapToLong(StandIn::attempts).sum();
+    long attempts(List<StandIn> servers) {
+        return servers.stream().mapToLong(StandIn::attempts).sum();
     }
 
     long releases() {
@@ -243,15 +245,15 @@
                 + writers.stream().mapToLong(StandIn::releases).sum();
     }
 
-    static void await(String what, BooleanSupplier condition) throws InterruptedException {
-        await(what, Line.PATIENCE_MS, condition);
+    static void await(String description, BooleanSupplier condition) throws InterruptedException {
+        await(description, RawConnection.TIMEOUT_MS, condition);
     }
 
-    static void await(String what, int patienceMs, BooleanSupplier condition) throws InterruptedException {
-        long until = System.nanoTime() + patienceMs * 1_000_000L;
+    static void await(String description, int timeoutMs, BooleanSupplier condition) throws InterruptedException {
+        long deadlineNs = System.nanoTime() + timeoutMs * 1_000_000L;
         while (!condition.getAsBoolean()) {
-            if (System.nanoTime() > until) {
-                throw new AssertionError("timed out waiting for: " + what);
+            if (System.nanoTime() > deadlineNs) {
+                throw new AssertionError("timed out waiting for: " + description);
             }
             Thread.sleep(5);
         }
--- a/src/test/java/copperbeam/sockets/SpoiltAnswersTest.java
+++ b/src/test/java/copperbeam/sockets/SpoiltAnswersTest.java
@@ -3,7 +3,7 @@
 import static copperbeam.sockets.Site.EVENTS;
 import static copperbeam.sockets.Site.attempts;
 import static copperbeam.sockets.Site.await;
-import static copperbeam.sockets.Site.chat;
+import static copperbeam.sockets.Site.chatRequest;
 import static copperbeam.sockets.Site.request;
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
@@ -27,12 +27,13 @@
 /** Servers that send a malformed answer, or more bytes than belong to it, and keep the connection open. */
 public class SpoiltAnswersTest {
     private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n";
-    private static final String FIRST = "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"ab\"}}]}\n\n";
+    private static final String FIRST_EVENT = "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"ab\"}}]}\n\n";
 
-    private static final int SETTLING_MS = 30; // for which a kept connection rests before its next call
-    private static final int SETTLED_MS = 50; // longer than the 30 ms for which a kept connection rests before its next call
+    private static final int REUSE_DELAY_MS = 30; // for which a kept connection rests before its next call
+    private static final int WAIT_FOR_REUSE_MS =
+            50; // longer than the 30 ms for which a kept connection rests before its next call
 
-    private static final int MOST_HELD =
+    private static final int MAX_UNREAD_EVENTS =
             128 * 1024; // number of 0.9 KB events; together more than all socket buffers on the way hold
 
     private static String chunk(String text) {
@@ -41,18 +42,18 @@
 
     /** Each row twice: for the platform's API and for the OpenAI API. */
     private static Object[][] withFronts(Object[]... cases) {
-        List<Object[]> all = new ArrayList<>();
-        for (Object[] one : cases) {
+        List<Object[]> rows = new ArrayList<>();
+        for (Object[] row : cases) {
             for (boolean chat : new boolean[] {false, true}) {
-                all.add(new Object[] {one[0], one[1], chat});
+                rows.add(new Object[] {row[0], row[1], chat});
             }
         }
-        return all.toArray(Object[][]::new);
+        return rows.toArray(Object[][]::new);
     }
 
-    private static Line send(Site site, String requestClass, boolean chat) throws Exception {
-        Line client = chat ? site.chatClient() : site.client();
-        return client.send(chat ? chat("m-" + requestClass, true, "") : request(requestClass, 4000));
+    private static RawConnection send(Site site, String requestClass, boolean chat) throws Exception {
+        RawConnection client = chat ? site.chatClient() : site.client();
+        return client.send(chat ? chatRequest("m-" + requestClass, true, "") : request(requestClass, 4000));
     }
 
     @DataProvider
@@ -64,9 +65,9 @@
             {"headers without end", HEAD + "X: y\r\n".repeat(200)},
             {"another protocol", "HTTP/1.1 101 Switching\r\nUpgrade: x\r\n\r\n"},
             {"information without end", "HTTP/1.1 102 Processing\r\n\r\n".repeat(20)},
-            {"no length", "HTTP/1.1 200 OK\r\n\r\n" + FIRST},
+            {"no length", "HTTP/1.1 200 OK\r\n\r\n" + FIRST_EVENT},
             {"noise for a size", HEAD + "\r\nzz\r\n"},
-            {"a negative size", HEAD + "\r\n-5\r\n" + FIRST},
+            {"a negative size", HEAD + "\r\n-5\r\n" + FIRST_EVENT},
             {"gigabytes", HEAD + "\r\nC0000000\r\n" + "x".repeat(1000)},
             {"noise for an event", HEAD + "\r\n" + chunk("what\n\n")},
         });
@@ -76,16 +77,19 @@
      * A node that abandons no silent attempt within a test: cancels are forbidden, and attempts time out later than the
      * test's own reads ({@link RawConnection#TIMEOUT_MS}).
      */
-    private static Node patient(StandIn discovery) throws Exception {
-        Api.Settings settings =
-                Site.parsed(String.format(Site.SETTINGS, 30).replace("\"cancel\":true", "\"cancel\":false"));
-        Duration time = Duration.ofMillis(6 * Line.PATIENCE_MS);
+    private static Node nodeWithLongTimeouts(StandIn discovery) throws Exception {
+        Api.Settings settings = Site.parseSettings(
+                String.format(Site.SETTINGS_FORMAT, 30).replace("\"cancel\":true", "\"cancel\":false"));
+        Duration timeout = Duration.ofMillis(6 * RawConnection.TIMEOUT_MS);
         ChatModels models = new ChatModels(Map.of(
-                "m-ask", new ChatModels.Model("ask", time, 100), "m-send", new ChatModels.Model("send", time, 100)));
-        InetSocketAddress any = new InetSocketAddress("127.0.0.1", 0);
+                "m-ask",
+                new ChatModels.Model("ask", timeout, 100),
+                "m-send",
+                new ChatModels.Model("send", timeout, 100)));
+        InetSocketAddress anyPort = new InetSocketAddress("127.0.0.1", 0);
         return new Node(new Config(
                 "n0",
-                any,
+                anyPort,
                 null,
                 null,
                 discovery.address(),
@@ -94,8 +98,8 @@
                 null,
                 Duration.ofMillis(250),
                 Duration.ofSeconds(30),
-                Config.Limits.USUAL,
-                new Config.Operator(any, models, null, List.of())));
+                Config.Limits.DEFAULT,
+                new Config.Operator(anyPort, models, null, List.of())));
     }
 
     /**
@@ -103,49 +107,53 @@
      * a timeout. It may have run, so that only the safe class is retried.
      */
     @Test(dataProvider = "openings")
-    public void aSpoiltOpeningIsAFailedAttempt(String name, String opening, boolean chat) throws Exception {
-        AtomicInteger turn = new AtomicInteger();
-        List<Line> spoilt = new CopyOnWriteArrayList<>();
-        StandIn.Script script = attempts((m, line) -> {
-            if (turn.getAndIncrement() == 0) {
-                spoilt.add(line);
-                line.send(opening);
+    public void aMalformedOpeningIsAFailedAttempt(String name, String opening, boolean chat) throws Exception {
+        AtomicInteger attemptCount = new AtomicInteger();
+        List<RawConnection> malformedConnections = new CopyOnWriteArrayList<>();
+        StandIn.Script script = attempts((request, connection) -> {
+            if (attemptCount.getAndIncrement() == 0) {
+                malformedConnections.add(connection);
+                connection.send(opening);
             } else {
-                Site.write(m, line);
+                Site.answerAsWriter(request, connection);
             }
         });
-        try (StandIn reader = new StandIn(Site::read);
-                StandIn one = new StandIn(script);
-                StandIn other = new StandIn(script);
-                StandIn discovery = Conductor.discovery(reader, one, other);
-                Node node = patient(discovery)) {
+        try (StandIn reader = new StandIn(Site::answerAsReader);
+                StandIn firstWriter = new StandIn(script);
+                StandIn secondWriter = new StandIn(script);
+                StandIn discovery = Conductor.discovery(reader, firstWriter, secondWriter);
+                Node node = nodeWithLongTimeouts(discovery)) {
             for (String requestClass : List.of("ask", "send")) {
-                turn.set(0);
-                spoilt.clear();
-                try (Line client = new Line(chat ? node.chatAddress() : node.address())) {
+                attemptCount.set(0);
+                malformedConnections.clear();
+                try (RawConnection client = new RawConnection(chat ? node.chatAddress() : node.address())) {
                     client.send(
-                            chat ? chat("m-" + requestClass, true, "") : request(requestClass, 6 * Line.PATIENCE_MS));
+                            chat
+                                    ? chatRequest("m-" + requestClass, true, "")
+                                    : request(requestClass, 6 * RawConnection.TIMEOUT_MS));
                     assertEquals(client.read().status(), requestClass.equals("ask") ? 200 : 502);
                 }
-                assertEquals(turn.get(), requestClass.equals("ask") ? 2 : 1);
-                await("the connection of the malformed answer is closed", () -> spoilt.get(0).ended);
+                assertEquals(attemptCount.get(), requestClass.equals("ask") ? 2 : 1);
+                await(
+                        "the connection of the malformed answer is closed",
+                        () -> malformedConnections.get(0).closedByStandIn);
             }
         }
     }
 
     @DataProvider
     public Object[][] words() {
-        List<Object[]> all = new ArrayList<>();
+        List<Object[]> rows = new ArrayList<>();
         for (int status :
                 new int[] {200, 201, 202, 203, 204, 206, 301, 302, 304, 307, 308, 400, 404, 409, 410, 429, 500, 503, 504
                 }) {
-            for (boolean reads : new boolean[] {true, false}) {
-                if (status != (reads ? 202 : 200)) {
-                    all.add(new Object[] {status, reads});
+            for (boolean isReader : new boolean[] {true, false}) {
+                if (status != (isReader ? 202 : 200)) {
+                    rows.add(new Object[] {status, isReader});
                 }
             }
         }
-        return all.toArray(Object[][]::new);
+        return rows.toArray(Object[][]::new);
     }
 
     /**
@@ -153,34 +161,35 @@
      * forwarded.
      */
     @Test(dataProvider = "words")
-    public void aWordOfAnotherRoleIsAFailedAttempt(int status, boolean reads) throws Exception {
-        String bad = status == 204 || status == 304
+    public void aStatusOfAnotherRoleIsAFailedAttempt(int status, boolean isReader) throws Exception {
+        String badAnswer = status == 204 || status == 304
                 ? "HTTP/1.1 " + status + " x\r\n\r\n"
                 : "HTTP/1.1 " + status + " x\r\nLocation: /v1/chat/completions\r\nTransfer-Encoding: chunked\r\n\r\n"
                         + chunk("data: bad\n\n") + "0\r\n\r\n";
         try (Site site = new Site(2, 2)) {
             for (String requestClass : List.of("ask", "send")) {
-                boolean harmless = reads || requestClass.equals("ask"); // a read may be repeated in every class
-                AtomicInteger turn = new AtomicInteger();
-                List<StandIn> all = reads ? site.readers : site.writers;
-                StandIn.Script good = reads ? Site::read : Site::write;
-                all.forEach(s -> s.script = attempts((m, line) -> {
-                    if (turn.getAndIncrement() == 0) {
-                        line.send(bad);
+                boolean mayBeRetried = isReader || requestClass.equals("ask"); // a read may be repeated in every class
+                AtomicInteger attemptCount = new AtomicInteger();
+                List<StandIn> servers = isReader ? site.readers : site.writers;
+                StandIn.Script validScript = isReader ? Site::answerAsReader : Site::answerAsWriter;
+                servers.forEach(server -> server.script = attempts((request, connection) -> {
+                    if (attemptCount.getAndIncrement() == 0) {
+                        connection.send(badAnswer);
                     } else {
-                        good.run(m, line);
+                        validScript.run(request, connection);
                     }
                 }));
-                try (Line client = site.client()) {
-                    Line.Message answer =
+                try (RawConnection client = site.client()) {
+                    RawConnection.Message answer =
                             client.send(request(requestClass, 4000)).read();
-                    assertEquals(answer.status(), harmless ? 200 : 502);
-                    assertEquals(answer.text(), harmless ? EVENTS : "failed\n");
+                    assertEquals(answer.status(), mayBeRetried ? 200 : 502);
+                    assertEquals(answer.text(), mayBeRetried ? EVENTS : "failed\n");
                 }
-                assertEquals(turn.get(), harmless ? 2 : 1);
+                assertEquals(attemptCount.get(), mayBeRetried ? 2 : 1);
                 assertEquals(
-                        (long) OperatorsTest.metrics(site.node.door()).get("transactions." + requestClass + ".errored"),
-                        harmless ? 0 : 1);
+                        (long) OperatorsTest.metrics(site.node.adminAddress())
+                                .get("transactions." + requestClass + ".errored"),
+                        mayBeRetried ? 0 : 1);
             }
         }
     }
@@ -189,10 +198,10 @@
     public Object[][] middles() {
         return withFronts(new Object[][] {
             {"noise for a size", "zz\r\n"},
-            {"a negative size", "-5\r\n" + FIRST},
+            {"a negative size", "-5\r\n" + FIRST_EVENT},
             {"gigabytes", "C0000000\r\ndata: x\n\n"},
-            {"a size too small", "3\r\n" + FIRST + "\r\n"},
-            {"a size too large", "60\r\n" + FIRST + "\r\n" + chunk(FIRST)},
+            {"a size too small", "3\r\n" + FIRST_EVENT + "\r\n"},
+            {"a size too large", "60\r\n" + FIRST_EVENT + "\r\n" + chunk(FIRST_EVENT)},
             {"an event without end", chunk("data: " + "x".repeat(40_000))},
             {"silence", ""},
         });
@@ -205,23 +214,23 @@
 
     /** The head of a refusal says that nothing ran: even an unsafe request is sent again, whatever happens to the body. */
     @Test(dataProvider = "refusals")
-    public void aRefusalWithoutItsEndHasNotRun(int status, boolean closes) throws Exception {
-        AtomicInteger turn = new AtomicInteger();
+    public void aRefusalWithoutItsEndHasNotRun(int status, boolean closesConnection) throws Exception {
+        AtomicInteger attemptCount = new AtomicInteger();
         try (Site site = new Site(1, 2);
-                Line client = site.client()) {
-            StandIn.Script script = attempts((m, line) -> {
-                if (turn.getAndIncrement() > 0) {
-                    Site.write(m, line);
+                RawConnection client = site.client()) {
+            StandIn.Script script = attempts((request, connection) -> {
+                if (attemptCount.getAndIncrement() > 0) {
+                    Site.answerAsWriter(request, connection);
                     return;
                 }
-                line.send("HTTP/1.1 " + status + " x\r\nX-Not-Processed: 1\r\nContent-Length: 9\r\n\r\nno");
-                if (closes) {
-                    line.close();
+                connection.send("HTTP/1.1 " + status + " x\r\nX-Not-Processed: 1\r\nContent-Length: 9\r\n\r\nno");
+                if (closesConnection) {
+                    connection.close();
                 }
             });
-            site.writers.forEach(w -> w.script = script);
+            site.writers.forEach(writer -> writer.script = script);
             assertEquals(client.send(request("send", 4000)).read().status(), 200);
-            assertEquals(turn.get(), 2);
+            assertEquals(attemptCount.get(), 2);
         }
     }
 
@@ -232,13 +241,16 @@
     @Test
     public void anErrorThatDoesNotEndIsAFailedAttempt() throws Exception {
         try (Site site = new Site(1, 1);
-                Line client = site.client()) {
+                RawConnection client = site.client()) {
             site.writers.get(0).script =
-                    attempts((m, line) -> line.send("HTTP/1.1 500 x\r\nContent-Length: 9\r\n\r\nno"));
-            long sent = System.nanoTime();
+                    attempts((request, connection) -> connection.send("HTTP/1.1 500 x\r\nContent-Length: 9\r\n\r\nno"));
+            long sentNs = System.nanoTime();
             assertEquals(
-                    client.send(request("send", 6 * Line.PATIENCE_MS)).read().status(), 502);
-            assertTrue(System.nanoTime() - sent < Duration.ofMillis(3000).toNanos());
+                    client.send(request("send", 6 * RawConnection.TIMEOUT_MS))
+                            .read()
+                            .status(),
+                    502);
+            assertTrue(System.nanoTime() - sentNs < Duration.ofMillis(3000).toNanos());
             assertEquals(site.attempts(site.writers), 1);
         }
     }
@@ -248,17 +260,19 @@
      * client gets no data but what the server sent as data.
      */
     @Test(dataProvider = "middles")
-    public void aStreamSpoiltLaterEndsItsClientsConnection(String name, String middle, boolean chat) throws Exception {
+    public void aStreamMalformedLaterEndsItsClientsConnection(String name, String middle, boolean chat)
+            throws Exception {
         try (Site site = new Site(1, 1)) {
-            site.writers.get(0).script = attempts((m, line) -> line.send(HEAD + "\r\n" + chunk(FIRST) + middle));
-            try (Line client = send(site, "ask", chat)) {
-                Line.Message answer = client.read();
+            site.writers.get(0).script =
+                    attempts((request, connection) -> connection.send(HEAD + "\r\n" + chunk(FIRST_EVENT) + middle));
+            try (RawConnection client = send(site, "ask", chat)) {
+                RawConnection.Message answer = client.read();
                 assertEquals(answer.status(), 200);
-                assertFalse(answer.whole());
+                assertFalse(answer.complete());
                 assertTrue(answer.text().startsWith("data: "));
                 assertFalse(answer.text().contains("\r"));
             }
-            await("closed", () -> site.writers.get(0).lines.get(0).ended);
+            await("closed", () -> site.writers.get(0).connections.get(0).closedByStandIn);
             assertEquals(site.attempts(site.writers), 1);
         }
     }
@@ -284,16 +298,16 @@
     @Test(dataProvider = "good")
     public void aGoodStreamWithMoreAroundItIsServed(String name, String answer, boolean chat) throws Exception {
         try (Site site = new Site(1, 1)) {
-            site.writers.get(0).script = attempts((m, line) -> line.send(answer));
+            site.writers.get(0).script = attempts((request, connection) -> connection.send(answer));
             for (int i = 0; i < 3; i++) {
-                try (Line client = send(site, "ask", chat)) {
-                    Line.Message served = client.read();
+                try (RawConnection client = send(site, "ask", chat)) {
+                    RawConnection.Message served = client.read();
                     assertEquals(served.status(), 200);
-                    assertTrue(served.whole() && served.text().contains("[DONE]"));
+                    assertTrue(served.complete() && served.text().contains("[DONE]"));
                 }
-                Thread.sleep(SETTLED_MS);
+                Thread.sleep(WAIT_FOR_REUSE_MS);
             }
-            assertEquals(site.writers.get(0).lines.size(), name.startsWith("behind") ? 3 : 1);
+            assertEquals(site.writers.get(0).connections.size(), name.startsWith("behind") ? 3 : 1);
             assertEquals(site.attempts(site.writers), 3);
         }
     }
@@ -303,36 +317,36 @@
      * arrives: that request gets its own answer.
      */
     @Test
-    public void aLateSecondAnswerIsPassedOnToNobody() throws Exception {
-        int inTime = 0;
-        for (int round = 0; inTime < 10 && round < 40; round++) {
-            int behindMs = 2 + round % 10 * 2;
-            AtomicInteger turn = new AtomicInteger();
-            AtomicLong tookMs = new AtomicLong();
+    public void aLateSecondAnswerIsNotForwarded() throws Exception {
+        int roundsInTime = 0;
+        for (int round = 0; roundsInTime < 10 && round < 40; round++) {
+            int delayMs = 2 + round % 10 * 2;
+            AtomicInteger attemptCount = new AtomicInteger();
+            AtomicLong actualDelayMs = new AtomicLong();
             try (Site site = new Site(1, 1);
-                    Line client = site.client()) {
-                site.writers.get(0).script = attempts((m, line) -> {
-                    int number = turn.incrementAndGet();
+                    RawConnection client = site.client()) {
+                site.writers.get(0).script = attempts((request, connection) -> {
+                    int number = attemptCount.incrementAndGet();
                     String answer = HEAD + "\r\n" + chunk("data: " + number + "\n\n") + "0\r\n\r\n";
-                    line.send(answer);
+                    connection.send(answer);
                     if (number == 1) {
-                        long first = System.nanoTime();
-                        Thread.sleep(behindMs);
-                        tookMs.set((System.nanoTime() - first) / 1_000_000);
-                        line.send(answer);
+                        long firstSentNs = System.nanoTime();
+                        Thread.sleep(delayMs);
+                        actualDelayMs.set((System.nanoTime() - firstSentNs) / 1_000_000);
+                        connection.send(answer);
                     }
                 });
                 assertEquals(client.send(request("ask", 4000)).read().text(), "data: 1\n\n");
-                String next = client.send(request("ask", 4000)).read().text();
-                await("the surplus answer was sent", () -> tookMs.get() > 0);
-                if (tookMs.get()
-                        < SETTLING_MS) { // else it was sent too late on a busy machine, and proves nothing
-                    assertEquals(next, "data: 2\n\n", behindMs + " ms after the first answer");
-                    inTime++;
+                String nextAnswer = client.send(request("ask", 4000)).read().text();
+                await("the surplus answer was sent", () -> actualDelayMs.get() > 0);
+                if (actualDelayMs.get()
+                        < REUSE_DELAY_MS) { // else it was sent too late on a busy machine, and proves nothing
+                    assertEquals(nextAnswer, "data: 2\n\n", delayMs + " ms after the first answer");
+                    roundsInTime++;
                 }
             }
         }
-        assertEquals(inTime, 10);
+        assertEquals(roundsInTime, 10);
     }
 
     /**
@@ -341,46 +355,47 @@
      */
     @Test
     public void halfALineOnAKeptConnectionCostsNoAttempt() throws Exception {
-        List<Line> carried =
-                new CopyOnWriteArrayList<>(); // connections with an attempt; others may be established late and stay unused
+        List<RawConnection> usedConnections =
+                new CopyOnWriteArrayList<>(); // connections with an attempt; others may be established late and stay
+        // unused
         try (Site site = new Site(1, 1);
-                Line client = site.client()) {
-            site.readers.get(0).script = attempts((m, line) -> {
-                carried.add(line);
-                Site.read(m, line);
+                RawConnection client = site.client()) {
+            site.readers.get(0).script = attempts((request, connection) -> {
+                usedConnections.add(connection);
+                Site.answerAsReader(request, connection);
             });
             for (int i = 1; i <= 5; i++) {
                 assertEquals(client.send(request("ask", 4000)).read().status(), 200);
-                assertEquals(carried.size(), i);
-                carried.get(i - 1).send("HTTP/1.1 4");
+                assertEquals(usedConnections.size(), i);
+                usedConnections.get(i - 1).send("HTTP/1.1 4");
             }
-            assertEquals(java.util.Set.copyOf(carried).size(), 5);
+            assertEquals(java.util.Set.copyOf(usedConnections).size(), 5);
         }
     }
 
     @DataProvider
     public Object[][] halves() {
-        String next = "data: {\"choices\":[{\"index\":0";
+        String nextEvent = "data: {\"choices\":[{\"index\":0";
         return new Object[][] {
             {"half a size", "2"},
             {"a size alone", "40\r\n"},
-            {"half a chunk", "40\r\n" + next},
-            {"half an event", chunk(next)},
+            {"half a chunk", "40\r\n" + nextEvent},
+            {"half an event", chunk(nextEvent)},
         };
     }
 
     /** The connection closes within an event: nothing of the event is forwarded, and the client sees a truncated stream. */
     @Test(dataProvider = "halves")
-    public void halfALineAtACloseIsNotPassedOn(String name, String half) throws Exception {
+    public void halfAnEventAtACloseIsNotForwarded(String name, String half) throws Exception {
         try (Site site = new Site(1, 1)) {
-            site.writers.get(0).script = attempts((m, line) -> {
-                line.send(HEAD + "\r\n" + chunk(FIRST) + half);
-                line.close();
+            site.writers.get(0).script = attempts((request, connection) -> {
+                connection.send(HEAD + "\r\n" + chunk(FIRST_EVENT) + half);
+                connection.close();
             });
-            try (Line client = send(site, "send", false)) {
-                Line.Message answer = client.read();
-                assertFalse(answer.whole());
-                assertEquals(answer.text(), FIRST);
+            try (RawConnection client = send(site, "send", false)) {
+                RawConnection.Message answer = client.read();
+                assertFalse(answer.complete());
+                assertEquals(answer.text(), FIRST_EVENT);
             }
             assertEquals(site.attempts(site.writers), 1);
         }
@@ -391,16 +406,16 @@
      * look as if it had not begun.
      */
     @Test
-    public void anEventBesideABreakIsPassedOn() throws Exception {
+    public void anEventThatArrivesWithABreakIsForwarded() throws Exception {
         try (Site site = new Site(1, 1);
-                Line client = site.client()) {
-            site.writers.get(0).script = attempts((m, line) -> {
-                line.send(HEAD + "\r\n" + chunk(FIRST));
-                line.close();
+                RawConnection client = site.client()) {
+            site.writers.get(0).script = attempts((request, connection) -> {
+                connection.send(HEAD + "\r\n" + chunk(FIRST_EVENT));
+                connection.close();
             });
-            Line.Message answer = client.send(request("send", 4000)).read();
-            assertEquals(answer.text(), FIRST);
-            assertFalse(answer.whole());
+            RawConnection.Message answer = client.send(request("send", 4000)).read();
+            assertEquals(answer.text(), FIRST_EVENT);
+            assertFalse(answer.complete());
         }
     }
 
@@ -409,30 +424,30 @@
      * and no event is lost.
      */
     @Test
-    public void aFloodThatNobodyTakesIsHeldUp() throws Exception {
+    public void aFloodThatNobodyReadsIsStoppedByFlowControl() throws Exception {
         try (Site site = new Site(1, 1);
-                Line client = site.client()) {
-            AtomicInteger sent = new AtomicInteger();
-            site.writers.get(0).script = attempts((m, line) -> {
-                line.send(HEAD + "\r\n");
+                RawConnection client = site.client()) {
+            AtomicInteger sentCount = new AtomicInteger();
+            site.writers.get(0).script = attempts((request, connection) -> {
+                connection.send(HEAD + "\r\n");
                 while (true) {
-                    line.send(chunk("data: " + sent.get() + "x".repeat(900) + "\n\n"));
-                    sent.incrementAndGet();
+                    connection.send(chunk("data: " + sentCount.get() + "x".repeat(900) + "\n\n"));
+                    sentCount.incrementAndGet();
                 }
             });
             client.send(request("ask", 4000));
-            long[] still = {0, System.nanoTime()};
-            await("the server is stopped by flow control", 3 * Line.PATIENCE_MS, () -> {
-                int now = sent.get();
-                assertTrue(now < MOST_HELD, "not stopped by flow control; events sent: " + now);
-                if (now != still[0]) {
-                    still[0] = now;
-                    still[1] = System.nanoTime();
+            long[] lastProgress = {0, System.nanoTime()};
+            await("the server is stopped by flow control", 3 * RawConnection.TIMEOUT_MS, () -> {
+                int now = sentCount.get();
+                assertTrue(now < MAX_UNREAD_EVENTS, "not stopped by flow control; events sent: " + now);
+                if (now != lastProgress[0]) {
+                    lastProgress[0] = now;
+                    lastProgress[1] = System.nanoTime();
                 }
-                return now > 0 && System.nanoTime() - still[1] > 2_000_000_000L;
+                return now > 0 && System.nanoTime() - lastProgress[1] > 2_000_000_000L;
             });
-            client.head();
-            for (int i = 0; i < still[0] + 1000; i++) {
+            client.readHead();
+            for (int i = 0; i < lastProgress[0] + 1000; i++) {
                 String event = client.readChunk();
                 assertTrue(event.startsWith("data: " + i + "x"), i + ": " + event);
             }
--- a/src/test/java/copperbeam/sockets/StandIn.java
+++ b/src/test/java/copperbeam/sockets/StandIn.java
@@ -14,23 +14,23 @@
 final class StandIn implements AutoCloseable {
     /** Answers one request; an exception closes the connection. */
     interface Script {
-        void run(Line.Message request, Line line) throws Exception;
+        void run(RawConnection.Message request, RawConnection connection) throws Exception;
     }
 
     /** Runs on a new connection before its first request is read; an exception closes the connection. */
-    interface Opening {
-        void take(Line line) throws Exception;
+    interface ConnectionHandler {
+        void handle(RawConnection connection) throws Exception;
     }
 
     private final ServerSocket socket;
-    volatile Opening opening = line -> {};
-    final List<Line.Message> seen = new CopyOnWriteArrayList<>();
-    final List<Line> lines = new CopyOnWriteArrayList<>();
+    volatile ConnectionHandler onConnect = line -> {};
+    final List<RawConnection.Message> requests = new CopyOnWriteArrayList<>();
+    final List<RawConnection> connections = new CopyOnWriteArrayList<>();
     volatile Script script;
 
     StandIn(Script script) throws IOException {
         this(script, 50);
-        open();
+        startAccepting();
     }
 
     /**
@@ -42,8 +42,8 @@
         socket = new ServerSocket(0, backlog, InetAddress.getByName("127.0.0.1"));
     }
 
-    void open() {
-        start(this::accept);
+    void startAccepting() {
+        startThread(this::acceptConnections);
     }
 
     private StandIn(ServerSocket socket) {
@@ -54,71 +54,71 @@
      * A server to which no connect succeeds or is refused, like a machine that is down: its accept queue is full, so that the
      * kernel drops further SYNs.
      */
-    static StandIn vanished() throws IOException {
-        StandIn gone = new StandIn(new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1")));
+    static StandIn unreachable() throws IOException {
+        StandIn server = new StandIn(new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1")));
         while (true) {
             try (Socket queued = new Socket()) {
-                queued.connect(gone.address(), 100);
+                queued.connect(server.address(), 100);
             } catch (SocketTimeoutException e) {
-                return gone;
+                return server;
             }
         }
     }
 
-    private static void start(Runnable task) {
+    private static void startThread(Runnable task) {
         Thread thread = new Thread(task, "stand-in");
         thread.setDaemon(true);
         thread.start();
     }
 
-    private void accept() {
+    private void acceptConnections() {
         try {
             while (true) {
-                Socket next = socket.accept();
-                start(() -> serve(next));
+                Socket accepted = socket.accept();
+                startThread(() -> serve(accepted));
             }
         } catch (IOException e) {
             // the server socket was closed
         }
     }
 
-    private void serve(Socket next) {
-        Line line = null;
+    private void serve(Socket accepted) {
+        RawConnection connection = null;
         try {
-            line = new Line(next);
-            next.setSoTimeout(0);
-            lines.add(line);
-            opening.take(line);
-            for (Line.Message request = line.read(); request != null; request = line.read()) {
-                seen.add(request);
-                script.run(request, line);
+            connection = new RawConnection(accepted);
+            accepted.setSoTimeout(0);
+            connections.add(connection);
+            onConnect.handle(connection);
+            for (RawConnection.Message request = connection.read(); request != null; request = connection.read()) {
+                requests.add(request);
+                script.run(request, connection);
             }
         } catch (Exception e) {
             // the script or the peer ended the connection
         } finally {
-            close(line);
+            close(connection);
         }
     }
 
-    private static void close(Line line) {
+    private static void close(RawConnection connection) {
         try {
-            line.close();
+            connection.close();
         } catch (IOException e) {
             // treated as closed
         }
-        line.ended = true;
+        connection.closedByStandIn = true;
     }
 
     InetSocketAddress address() {
         return (InetSocketAddress) socket.getLocalSocketAddress();
     }
 
-    String host() {
+    String hostAndPort() {
         return "127.0.0.1:" + address().getPort();
     }
 
-    long count(Predicate<Line.Message> which) {
-        return seen.stream().filter(which).count();
+    long count(Predicate<RawConnection.Message> condition) {
+        return requests.stream().filter(condition).count();
     }
 
     long attempts() {
@@ -132,8 +132,8 @@
     @Override
     public void close() throws IOException {
         socket.close();
-        for (Line line : lines) {
-            line.close();
+        for (RawConnection connection : connections) {
+            connection.close();
         }
     }
 }
--- a/src/test/java/copperbeam/sockets/UpgradeTest.java
+++ b/src/test/java/copperbeam/sockets/UpgradeTest.java
@@ -31,134 +31,142 @@
 
 /** Upgrades: several processes of one conductor, failures among them, and what clients and servers notice. */
 public class UpgradeTest {
-    private static final int STREAM_MS = 100;
-    private static final String BEAT = "data: beat\n\n";
+    private static final int STREAM_DURATION_MS = 100;
+    private static final String HEARTBEAT = "data: beat\n\n";
 
     /** The servers, and the processes of one conductor in the order of their start. */
     private static final class Fleet implements AutoCloseable {
-        final StandIn reader = new StandIn(Site::read);
+        final StandIn reader = new StandIn(Site::answerAsReader);
         final List<StandIn> writers = new ArrayList<>();
         final StandIn discovery;
-        final CountDownLatch told = new CountDownLatch(1); // opened when lateDiscovery may answer
-        private volatile CountDownLatch held = new CountDownLatch(1); // opened when the streams of requests "held..." may end
+        final CountDownLatch listAvailable = new CountDownLatch(1); // opened when lateDiscovery may answer
+        private volatile CountDownLatch streamsReleased =
+                new CountDownLatch(1); // opened when the streams of requests "held..." may end
         final Path folder = Files.createTempDirectory("conductor");
-        final List<Conductor> all = new ArrayList<>();
-        private final Path operator = folder.resolve("operator.json");
+        final List<Conductor> conductors = new ArrayList<>();
+        private final Path operatorFile = folder.resolve("operator.json");
         private StandIn lateDiscovery;
 
         Fleet() throws IOException {
             for (int i = 0; i < 2; i++) {
-                writers.add(new StandIn(attempts(this::write)));
+                writers.add(new StandIn(attempts(this::writeStream)));
             }
             discovery = Conductor.discovery(reader, writers.toArray(StandIn[]::new));
-            // a stop that waits for the streams that the test holds, so that the result does not depend on the machine's speed
-            Files.writeString(operator, "{\"stop\":{\"within_s\":40}}");
+            // a stop that waits for the streams that the test holds, so that the result does not depend on the
+            // machine's speed
+            Files.writeString(operatorFile, "{\"stop\":{\"within_s\":40}}");
         }
 
-        private void write(Line.Message m, Line line) throws Exception {
-            line.beginStream().chunk("data: first\n\n");
-            if (m.header("X-Request-ID").startsWith("held")) {
-                while (!held.await(200, TimeUnit.MILLISECONDS)) {
-                    line.chunk(BEAT); // a stream without data for 4 s is aborted
+        private void writeStream(RawConnection.Message request, RawConnection connection) throws Exception {
+            connection.beginStream().sendChunk("data: first\n\n");
+            if (request.header("X-Request-ID").startsWith("held")) {
+                while (!streamsReleased.await(200, TimeUnit.MILLISECONDS)) {
+                    connection.sendChunk(HEARTBEAT); // a stream without data for 4 s is aborted
                 }
-            } else if (m.header("X-Request-ID").startsWith("load")) {
-                Thread.sleep(STREAM_MS);
+            } else if (request.header("X-Request-ID").startsWith("load")) {
+                Thread.sleep(STREAM_DURATION_MS);
             }
-            line.chunk(Site.EVENTS).lastChunk();
+            connection.sendChunk(Site.EVENTS).sendLastChunk();
         }
 
-        Conductor start(StandIn list) throws IOException {
-            String[] more = {"--operator", operator.toString()};
-            all.add(all.isEmpty() ? new Conductor(list, folder, more) : new Conductor(list, all.get(0), more));
-            return all.get(all.size() - 1);
+        Conductor start(StandIn discoveryServer) throws IOException {
+            String[] extraArguments = {"--operator", operatorFile.toString()};
+            conductors.add(
+                    conductors.isEmpty()
+                            ? new Conductor(discoveryServer, folder, extraArguments)
+                            : new Conductor(discoveryServer, conductors.get(0), extraArguments));
+            return conductors.get(conductors.size() - 1);
         }
 
         /** Starts a process and waits until it is ready and the one before has stopped listening. */
-        Conductor next() throws Exception {
-            return alone(start(discovery));
+        Conductor startNext() throws Exception {
+            return awaitOnlyListener(start(discovery));
         }
 
         /** Starts a process that the others know of, and that gets no server list before {@link #listAvailable} is open. */
-        Conductor late() throws Exception {
+        Conductor startWithoutList() throws Exception {
             lateDiscovery = Conductor.discovery(reader, writers.toArray(StandIn[]::new));
-            StandIn.Script list = lateDiscovery.script;
-            lateDiscovery.script = (m, line) -> {
-                told.await();
-                list.run(m, line);
+            StandIn.Script listScript = lateDiscovery.script;
+            lateDiscovery.script = (request, connection) -> {
+                listAvailable.await();
+                listScript.run(request, connection);
             };
             Conductor late = start(lateDiscovery);
-            await("answers at its admin address", Conductor.START_MS, () -> late.call("PING").equals("NAK not ready\n"));
+            await(
+                    "answers at its admin address",
+                    Conductor.START_TIMEOUT_MS,
+                    () -> late.call("PING").equals("NAK not ready\n"));
             return late;
         }
 
-        Conductor alone(Conductor one) throws Exception {
-            one.awaitReady();
-            await("the only listener at the address", () -> one.listeners() == 1);
-            return one;
+        Conductor awaitOnlyListener(Conductor conductor) throws Exception {
+            conductor.awaitReady();
+            await("the only listener at the address", () -> conductor.listenerCount() == 1);
+            return conductor;
         }
 
-        Line client() throws IOException {
-            return new Line(all.get(0).address);
+        RawConnection client() throws IOException {
+            return new RawConnection(conductors.get(0).address);
         }
 
         /** Opens a stream that gets its first event and then only heartbeats. */
-        Line hold() throws Exception {
-            Line client = client();
+        RawConnection openHeldStream() throws Exception {
+            RawConnection client = client();
             client.send(request("held" + System.nanoTime(), "ask", "60000m", "prompt_len=40", "{}"))
-                    .head();
+                    .readHead();
             assertEquals(client.readChunk(), "data: first\n\n");
             return client;
         }
 
         /** Lets held streams go on, and checks that each arrives complete. */
-        void release(Line... streams) throws IOException {
-            held.countDown();
-            for (Line stream : streams) {
-                StringBuilder rest = new StringBuilder();
+        void releaseStreams(RawConnection... streams) throws IOException {
+            streamsReleased.countDown();
+            for (RawConnection stream : streams) {
+                StringBuilder received = new StringBuilder();
                 String event = stream.readChunk();
                 for (; event != null && !event.isEmpty(); event = stream.readChunk()) {
-                    rest.append(event);
+                    received.append(event);
                 }
-                assertEquals(rest.toString().replace(BEAT, "") + (event == null ? "" : "broken"), Site.EVENTS);
+                assertEquals(received.toString().replace(HEARTBEAT, "") + (event == null ? "" : "broken"), Site.EVENTS);
             }
-            held = new CountDownLatch(1);
+            streamsReleased = new CountDownLatch(1);
         }
 
         /** The phases of the processes, from the shared state file. */
         List<SharedState.Phase> phases() {
             try {
-                return StateCodec.read(Conductor.NAME, Files.readAllBytes(folder.resolve(Conductor.NAME + ".state")))
-                        .lives()
+                return StateCodec.decode(Conductor.NAME, Files.readAllBytes(folder.resolve(Conductor.NAME + ".state")))
+                        .processes()
                         .values()
                         .stream()
-                        .map(SharedState.Life::phase)
+                        .map(SharedState.ProcessInfo::phase)
                         .toList();
-            } catch (IOException | StateCodec.Refused e) {
+            } catch (IOException | StateCodec.InvalidStateException e) {
                 throw new AssertionError(e);
             }
         }
 
         /** Sends {@code count} requests, each on a new connection, and checks that each is answered. */
-        void ask(int count) throws Exception {
+        void sendRequests(int count) throws Exception {
             for (int i = 0; i < count; i++) {
-                try (Line client = client()) {
+                try (RawConnection client = client()) {
                     assertEquals(client.send(request("ask", 8000)).read().status(), 200);
                 }
             }
         }
 
         /** Checks that a banned server gets no request while other servers do. */
-        void holdsOut(StandIn out) throws Exception {
-            long before = out.attempts();
-            ask(10);
-            assertEquals(out.attempts(), before, "sent to a banned server");
+        void assertBanned(StandIn banned) throws Exception {
+            long before = banned.attempts();
+            sendRequests(10);
+            assertEquals(banned.attempts(), before, "sent to a banned server");
         }
 
-        void usesAgain(StandIn server) throws Exception {
+        void awaitUsedAgain(StandIn server) throws Exception {
             long before = server.attempts();
             await("used again", () -> {
                 try {
-                    ask(1);
+                    sendRequests(1);
                 } catch (Exception e) {
                     throw new AssertionError(e);
                 }
@@ -167,27 +175,27 @@
         }
 
         /** Checks that the process's metrics agree with what clients and servers count from now on. */
-        void countsTruly(Conductor one) throws Exception {
-            Map<String, Long> before = metrics(one.door);
-            long sent = sent();
-            ask(10);
-            Map<String, Long> now = metrics(one.door);
+        void assertMetricsCorrect(Conductor conductor) throws Exception {
+            Map<String, Long> before = metrics(conductor.adminAddress);
+            long sentBefore = sentAttempts();
+            sendRequests(10);
+            Map<String, Long> now = metrics(conductor.adminAddress);
             String answered = "transactions.ask.answered";
             assertEquals(now.get(answered) - before.get(answered), 10, answered);
-            assertEquals(now.get("sends") - before.get("sends"), sent() - sent, "sends");
+            assertEquals(now.get("sends") - before.get("sends"), sentAttempts() - sentBefore, "sends");
             assertEquals(now.get("current"), before.get("current"), "current");
         }
 
-        private long sent() {
+        private long sentAttempts() {
             return reader.attempts()
                     + writers.stream().mapToLong(StandIn::attempts).sum();
         }
 
         @Override
         public void close() throws IOException {
-            told.countDown();
-            held.countDown();
-            all.forEach(Conductor::close);
+            listAvailable.countDown();
+            streamsReleased.countDown();
+            conductors.forEach(Conductor::close);
             for (StandIn s : Arrays.asList(reader, writers.get(0), writers.get(1), discovery, lateDiscovery)) {
                 if (s != null) {
                     s.close();
@@ -200,70 +208,72 @@
     private static final class Load {
         private static final int CLIENTS = 6;
         final List<String> faults = new CopyOnWriteArrayList<>();
-        final List<String> sends = new CopyOnWriteArrayList<>();
+        final List<String> unsafeRequestIds = new CopyOnWriteArrayList<>();
         final AtomicInteger answered = new AtomicInteger();
         private final List<Thread> threads = new ArrayList<>();
-        private volatile boolean over;
+        private volatile boolean stopped;
 
         Load(Fleet fleet) {
             for (int i = 0; i < CLIENTS; i++) {
-                int number = i;
-                threads.add(new Thread(() -> run(fleet, number)));
+                int clientNumber = i;
+                threads.add(new Thread(() -> run(fleet, clientNumber)));
                 threads.get(i).start();
             }
         }
 
-        private void run(Fleet fleet, int number) {
-            Line line = null;
-            for (int i = 0; !over; i++) {
-                String id = "load" + number + "-" + i;
-                String requestClass = number % 3 == 0 ? "ask" : "send";
+        private void run(Fleet fleet, int clientNumber) {
+            RawConnection connection = null;
+            for (int i = 0; !stopped; i++) {
+                String id = "load" + clientNumber + "-" + i;
+                String requestClass = clientNumber % 3 == 0 ? "ask" : "send";
                 try {
-                    line = line == null ? fleet.client() : line;
+                    connection = connection == null ? fleet.client() : connection;
                     if (requestClass.equals("send")) {
-                        sends.add(id);
+                        unsafeRequestIds.add(id);
                     }
-                    Line.Message answer = line.send(request(id, requestClass, "8000m", "prompt_len=40", "{}"))
+                    RawConnection.Message answer = connection
+                            .send(request(id, requestClass, "8000m", "prompt_len=40", "{}"))
                             .read();
                     if (answer == null
                             || answer.status() != 200
-                            || !answer.whole()
+                            || !answer.complete()
                             || !answer.text().equals("data: first\n\n" + Site.EVENTS)) {
-                        faults.add(id + ": " + (answer == null ? "closed" : answer.start() + " " + answer.text()));
+                        faults.add(id + ": " + (answer == null ? "closed" : answer.startLine() + " " + answer.text()));
                     }
                     answered.incrementAndGet();
-                    if (number % 2 == 0 || answer == null || "close".equals(answer.header("Connection"))) {
-                        line.close();
-                        line = null;
+                    if (clientNumber % 2 == 0 || answer == null || "close".equals(answer.header("Connection"))) {
+                        connection.close();
+                        connection = null;
                     }
                 } catch (IOException e) {
                     faults.add(id + ": " + e);
-                    line = null;
+                    connection = null;
                 }
             }
         }
 
-        void goesOn() throws InterruptedException {
-            int from = answered.get();
-            await("clients are served", () -> answered.get() > from + 5 * CLIENTS || !faults.isEmpty());
+        void awaitProgress() throws InterruptedException {
+            int answeredBefore = answered.get();
+            await("clients are served", () -> answered.get() > answeredBefore + 5 * CLIENTS || !faults.isEmpty());
             assertTrue(faults.isEmpty(), faults.toString());
         }
 
-        void end() throws InterruptedException {
-            over = true;
-            for (Thread t : threads) {
-                t.join();
+        void stopAndAssertNoFaults() throws InterruptedException {
+            stopped = true;
+            for (Thread thread : threads) {
+                thread.join();
             }
             assertTrue(faults.isEmpty(), faults.toString());
         }
     }
 
-    private static void endsByItself(Conductor one) throws Exception {
-        assertTrue(one.process.waitFor(Line.PATIENCE_MS, TimeUnit.MILLISECONDS), "the process did not end");
-        assertEquals(one.process.exitValue(), 0);
+    private static void assertExitsNormally(Conductor conductor) throws Exception {
+        assertTrue(
+                conductor.process.waitFor(RawConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS), "the process did not end");
+        assertEquals(conductor.process.exitValue(), 0);
     }
 
-    private static String id(StandIn server) {
+    private static String serverId(StandIn server) {
         return "s" + server.address().getPort();
     }
 
@@ -271,39 +281,40 @@
     @Test
     public void clientsSeeNothingOfUpgrades() throws Exception {
         try (Fleet fleet = new Fleet()) {
-            Conductor old = fleet.next();
-            assertEquals(old.call("DETACH " + id(fleet.writers.get(0))), "ACK\n");
+            Conductor old = fleet.startNext();
+            assertEquals(old.call("DETACH " + serverId(fleet.writers.get(0))), "ACK\n");
             Load load = new Load(fleet);
-            load.goesOn();
+            load.awaitProgress();
             for (int i = 0; i < 2; i++) {
-                try (Line open = fleet.hold()) {
-                    Conductor next = fleet.next();
-                    load.goesOn();
-                    assertTrue(metrics(next.door).get("transactions.send.answered") > 0);
+                try (RawConnection open = fleet.openHeldStream()) {
+                    Conductor next = fleet.startNext();
+                    load.awaitProgress();
+                    assertTrue(metrics(next.adminAddress).get("transactions.send.answered") > 0);
                     old.signal("TERM");
                     Conductor stopping = old;
-                    await("the old process stops", () -> !stopping.ready());
-                    load.goesOn();
+                    await("the old process stops", () -> !stopping.isReady());
+                    load.awaitProgress();
                     assertTrue(old.process.isAlive(), "a stream is open");
-                    fleet.release(open);
-                    endsByItself(old);
+                    fleet.releaseStreams(open);
+                    assertExitsNormally(old);
                     old = next;
                 }
-                load.goesOn();
+                load.awaitProgress();
             }
-            load.end();
+            load.stopAndAssertNoFaults();
             assertEquals(fleet.writers.get(0).attempts(), 0, "banned since the first process");
             for (StandIn server : List.of(fleet.reader, fleet.writers.get(1))) {
-                Map<String, Long> times = server.seen.stream()
-                        .filter(m -> m.method().equals("POST"))
-                        .collect(Collectors.groupingBy(m -> m.header("X-Request-ID"), Collectors.counting()));
-                load.sends.forEach(id -> assertEquals(times.get(id), Long.valueOf(1), id));
+                Map<String, Long> attemptsById = server.requests.stream()
+                        .filter(message -> message.method().equals("POST"))
+                        .collect(Collectors.groupingBy(
+                                message -> message.header("X-Request-ID"), Collectors.counting()));
+                load.unsafeRequestIds.forEach(id -> assertEquals(attemptsById.get(id), Long.valueOf(1), id));
             }
         }
     }
 
     /** How far the upgrade has come when one of the processes is killed. */
-    private enum Step {
+    private enum UpgradeStage {
         STARTING,
         SERVING,
         LEAVING,
@@ -312,8 +323,8 @@
 
     @DataProvider
     public Object[][] kills() {
-        return Stream.of(Step.values())
-                .flatMap(s -> Stream.of(new Object[] {s, true}, new Object[] {s, false}))
+        return Stream.of(UpgradeStage.values())
+                .flatMap(stage -> Stream.of(new Object[] {stage, true}, new Object[] {stage, false}))
                 .toArray(Object[][]::new);
     }
 
@@ -322,43 +333,44 @@
      * metrics are right.
      */
     @Test(dataProvider = "kills")
-    public void theOtherGoesOn(Step step, boolean killOld) throws Exception {
+    public void theOtherProcessGoesOn(UpgradeStage stage, boolean killOld) throws Exception {
         try (Fleet fleet = new Fleet()) {
-            StandIn out = fleet.writers.get(0);
-            Conductor old = fleet.next();
-            assertEquals(old.call("DETACH " + id(out)), "ACK\n");
-            Line oldStream = step == Step.IDLE ? null : fleet.hold();
-            Conductor next = step == Step.STARTING ? fleet.late() : fleet.next();
-            Line newStream = step == Step.SERVING || step == Step.LEAVING ? fleet.hold() : null;
-            if (step == Step.LEAVING) {
+            StandIn banned = fleet.writers.get(0);
+            Conductor old = fleet.startNext();
+            assertEquals(old.call("DETACH " + serverId(banned)), "ACK\n");
+            RawConnection oldStream = stage == UpgradeStage.IDLE ? null : fleet.openHeldStream();
+            Conductor next = stage == UpgradeStage.STARTING ? fleet.startWithoutList() : fleet.startNext();
+            RawConnection newStream =
+                    stage == UpgradeStage.SERVING || stage == UpgradeStage.LEAVING ? fleet.openHeldStream() : null;
+            if (stage == UpgradeStage.LEAVING) {
                 old.signal("TERM");
-                await("the old process stops", () -> !old.ready());
+                await("the old process stops", () -> !old.isReady());
             }
             (killOld ? old : next).process.destroyForcibly().waitFor();
-            Conductor left = killOld ? next : old;
-            fleet.told.countDown();
-            await("the remaining process listens", () -> left.listeners() == 1);
-            boolean stops = left == old && step == Step.LEAVING;
-            await("healthy unless it is stopping", () -> left.healthy() == !stops);
-            fleet.holdsOut(out);
-            if (stops) {
-                fleet.release(oldStream);
-                endsByItself(old);
+            Conductor remaining = killOld ? next : old;
+            fleet.listAvailable.countDown();
+            await("the remaining process listens", () -> remaining.listenerCount() == 1);
+            boolean isStopping = remaining == old && stage == UpgradeStage.LEAVING;
+            await("healthy unless it is stopping", () -> remaining.isHealthy() == !isStopping);
+            fleet.assertBanned(banned);
+            if (isStopping) {
+                fleet.releaseStreams(oldStream);
+                assertExitsNormally(old);
                 return;
             }
-            Line stream = killOld ? newStream : oldStream;
+            RawConnection stream = killOld ? newStream : oldStream;
             if (stream != null) {
-                fleet.release(stream);
+                fleet.releaseStreams(stream);
             }
-            await("nothing is open", () -> metrics(left.door).get("current") == 0);
-            fleet.countsTruly(left);
+            await("nothing is open", () -> metrics(remaining.adminAddress).get("current") == 0);
+            fleet.assertMetricsCorrect(remaining);
             await("the shared state says SERVING", () -> fleet.phases().equals(List.of(SharedState.Phase.SERVING)));
-            assertEquals(out.attempts(), 0, "banned since before the kill");
-            assertEquals(left.call("ATTACH " + id(out)), "ACK\n");
-            fleet.usesAgain(out);
-            if (step == Step.SERVING && !killOld) {
-                fleet.next(); // the failed upgrade is repeated
-                fleet.ask(10);
+            assertEquals(banned.attempts(), 0, "banned since before the kill");
+            assertEquals(remaining.call("ATTACH " + serverId(banned)), "ACK\n");
+            fleet.awaitUsedAgain(banned);
+            if (stage == UpgradeStage.SERVING && !killOld) {
+                fleet.startNext(); // the failed upgrade is repeated
+                fleet.sendRequests(10);
             }
         }
     }
@@ -371,30 +383,32 @@
 
     /** An order that is given to one process takes effect in both; each call is executed and logged once. */
     @Test(dataProvider = "doors")
-    public void whatIsSaidHoldsForBoth(int said, int back) throws Exception {
+    public void operatorCallsApplyToBothProcesses(int banProcess, int drainProcess) throws Exception {
         try (Fleet fleet = new Fleet()) {
-            StandIn out = fleet.writers.get(0);
-            List<Conductor> both = List.of(fleet.next(), fleet.next());
+            StandIn banned = fleet.writers.get(0);
+            List<Conductor> conductors = List.of(fleet.startNext(), fleet.startNext());
             // the second call may come before the first has spread to the other process
-            assertEquals(both.get(said).call("DETACH " + id(out)), "ACK\n");
-            assertEquals(both.get(back).call("LAMEDUCK"), "ACK\n");
-            for (Conductor one : both) {
-                await("one server banned", () -> metrics(one.door).get("cluster_unhealthy") == 1);
+            assertEquals(conductors.get(banProcess).call("DETACH " + serverId(banned)), "ACK\n");
+            assertEquals(conductors.get(drainProcess).call("LAMEDUCK"), "ACK\n");
+            for (Conductor conductor : conductors) {
+                await("one server banned", () -> metrics(conductor.adminAddress).get("cluster_unhealthy") == 1);
             }
-            await("drained", () -> !both.get(1).healthy());
-            fleet.holdsOut(out);
-            assertEquals(both.get(back).call("REJOIN"), "ACK\n");
-            assertEquals(both.get(said).call("ATTACH " + id(out)), "ACK\n");
-            for (Conductor one : both) {
-                await("no server banned", () -> metrics(one.door).get("cluster_unhealthy") == 0);
-                assertTrue(one.ready());
+            await("drained", () -> !conductors.get(1).isHealthy());
+            fleet.assertBanned(banned);
+            assertEquals(conductors.get(drainProcess).call("REJOIN"), "ACK\n");
+            assertEquals(conductors.get(banProcess).call("ATTACH " + serverId(banned)), "ACK\n");
+            for (Conductor conductor : conductors) {
+                await("no server banned", () -> metrics(conductor.adminAddress).get("cluster_unhealthy") == 0);
+                assertTrue(conductor.isReady());
             }
-            await("back at work", both.get(1)::healthy);
-            fleet.usesAgain(out);
-            for (String call : List.of("DETACH " + id(out), "LAMEDUCK", "REJOIN", "ATTACH " + id(out))) {
-                Conductor at = both.get(call.equals("LAMEDUCK") || call.equals("REJOIN") ? back : said);
+            await("back at work", conductors.get(1)::isHealthy);
+            fleet.awaitUsedAgain(banned);
+            for (String call :
+                    List.of("DETACH " + serverId(banned), "LAMEDUCK", "REJOIN", "ATTACH " + serverId(banned))) {
+                Conductor conductor =
+                        conductors.get(call.equals("LAMEDUCK") || call.equals("REJOIN") ? drainProcess : banProcess);
                 assertEquals(
-                        Files.readAllLines(at.log).stream()
+                        Files.readAllLines(conductor.logFile).stream()
                                 .filter(l -> l.endsWith(": " + call))
                                 .count(),
                         1,
@@ -407,17 +421,17 @@
     @Test
     public void aDrainOutlivesAnUpgrade() throws Exception {
         try (Fleet fleet = new Fleet()) {
-            Conductor old = fleet.next();
+            Conductor old = fleet.startNext();
             assertEquals(old.call("LAMEDUCK"), "ACK\n");
-            Conductor next = fleet.next();
-            assertFalse(next.healthy());
+            Conductor next = fleet.startNext();
+            assertFalse(next.isHealthy());
             old.signal("TERM");
-            endsByItself(old);
-            assertFalse(next.healthy());
-            assertTrue(next.ready());
-            fleet.ask(3);
+            assertExitsNormally(old);
+            assertFalse(next.isHealthy());
+            assertTrue(next.isReady());
+            fleet.sendRequests(3);
             assertEquals(next.call("REJOIN"), "ACK\n");
-            await("back at work", next::healthy);
+            await("back at work", next::isHealthy);
         }
     }
 
@@ -425,23 +439,23 @@
     @Test
     public void aStopBeforeTheNewOneIsReady() throws Exception {
         try (Fleet fleet = new Fleet()) {
-            Conductor old = fleet.next();
-            Conductor next = fleet.late();
-            fleet.ask(3);
-            assertEquals(old.listeners(), 1, "the new one is not ready");
-            try (Line open = fleet.hold()) {
+            Conductor old = fleet.startNext();
+            Conductor next = fleet.startWithoutList();
+            fleet.sendRequests(3);
+            assertEquals(old.listenerCount(), 1, "the new one is not ready");
+            try (RawConnection open = fleet.openHeldStream()) {
                 old.signal("TERM");
-                await("the old process stops", () -> !old.ready());
-                assertFalse(old.healthy());
-                fleet.ask(3);
-                fleet.release(open);
+                await("the old process stops", () -> !old.isReady());
+                assertFalse(old.isHealthy());
+                fleet.sendRequests(3);
+                fleet.releaseStreams(open);
             }
-            endsByItself(old);
-            assertEquals(next.listeners(), 0);
-            fleet.told.countDown();
-            fleet.alone(next);
-            assertTrue(next.healthy());
-            fleet.countsTruly(next);
+            assertExitsNormally(old);
+            assertEquals(next.listenerCount(), 0);
+            fleet.listAvailable.countDown();
+            fleet.awaitOnlyListener(next);
+            assertTrue(next.isHealthy());
+            fleet.assertMetricsCorrect(next);
         }
     }
 
@@ -452,16 +466,16 @@
     @Test
     public void aStopBeforeItIsReadyNeverListens() throws Exception {
         try (Fleet fleet = new Fleet()) {
-            Conductor old = fleet.next();
-            Conductor next = fleet.late();
+            Conductor old = fleet.startNext();
+            Conductor next = fleet.startWithoutList();
             await("it handles the signal itself", () -> next.logged(" listens on "));
             next.signal("TERM");
             await("the shared state says LEAVING", () -> fleet.phases().contains(SharedState.Phase.LEAVING));
-            fleet.told.countDown();
+            fleet.listAvailable.countDown();
             while (next.process.isAlive()) {
-                assertEquals(old.listeners(), 1);
+                assertEquals(old.listenerCount(), 1);
             }
-            fleet.ask(3);
+            fleet.sendRequests(3);
         }
     }
 
@@ -471,46 +485,49 @@
         return new Object[][] {
             {
                 "not a copperbeam state file",
-                (UnaryOperator<byte[]>) whole -> {
-                    byte[] any = whole.clone();
-                    new Random(3).nextBytes(any);
-                    return any;
+                (UnaryOperator<byte[]>) content -> {
+                    byte[] garbage = content.clone();
+                    new Random(3).nextBytes(garbage);
+                    return garbage;
                 }
             },
-            {"truncated", (UnaryOperator<byte[]>) whole -> Arrays.copyOf(whole, whole.length - 1)},
-            {"another conductor's", (UnaryOperator<byte[]>) whole -> file("n1", whole)},
+            {"truncated", (UnaryOperator<byte[]>) content -> Arrays.copyOf(content, content.length - 1)},
+            {"another conductor's", (UnaryOperator<byte[]>) content -> stateFileOf("n1", content)},
             {null, UnaryOperator.identity()},
         };
     }
 
-    private static byte[] file(String conductor, byte[] whole) {
+    private static byte[] stateFileOf(String conductor, byte[] content) {
         try {
-            return StateCodec.write(conductor, StateCodec.read(Conductor.NAME, whole), Instant.now());
-        } catch (StateCodec.Refused e) {
+            return StateCodec.encode(conductor, StateCodec.decode(Conductor.NAME, content), Instant.now());
+        } catch (StateCodec.InvalidStateException e) {
             throw new AssertionError(e);
         }
     }
 
     /** {@code reason} null: the file is valid and used. */
     @Test(dataProvider = "files")
-    public void whatIsNotOursIsNotTaken(String why, UnaryOperator<byte[]> spoil) throws Exception {
+    public void onlyAValidStateFileOfThisConductorIsUsed(String reason, UnaryOperator<byte[]> corrupt)
+            throws Exception {
         try (Fleet fleet = new Fleet()) {
-            StandIn out = fleet.writers.get(0);
+            StandIn banned = fleet.writers.get(0);
             Path state = fleet.folder.resolve(Conductor.NAME + ".state");
             Files.write(
                     state,
-                    spoil.apply(StateCodec.write(
-                            Conductor.NAME, SharedState.EMPTY.ban(id(out), true, Instant.now()), Instant.now())));
-            Conductor one = fleet.next();
-            assertTrue(one.healthy());
-            if (why == null) {
-                fleet.holdsOut(out);
+                    corrupt.apply(StateCodec.encode(
+                            Conductor.NAME,
+                            SharedState.EMPTY.withBan(serverId(banned), true, Instant.now()),
+                            Instant.now())));
+            Conductor conductor = fleet.startNext();
+            assertTrue(conductor.isHealthy());
+            if (reason == null) {
+                fleet.assertBanned(banned);
             } else {
-                String said = "n0.state is not taken: " + why + System.lineSeparator();
-                assertTrue(one.logged(said), Files.readString(one.log));
-                fleet.usesAgain(out);
+                String logLine = "n0.state is not taken: " + reason + System.lineSeparator();
+                assertTrue(conductor.logged(logLine), Files.readString(conductor.logFile));
+                fleet.awaitUsedAgain(banned);
             }
-            StateCodec.read(Conductor.NAME, Files.readAllBytes(state)); // has been replaced by a valid file
+            StateCodec.decode(Conductor.NAME, Files.readAllBytes(state)); // has been replaced by a valid file
         }
     }
 }
--- a/src/test/java/copperbeam/transport/AcceptorTest.java
+++ b/src/test/java/copperbeam/transport/AcceptorTest.java
@@ -18,24 +18,24 @@
      */
     @SuppressWarnings("try") // the connection only waits to be accepted
     @Test
-    public void itsThreadEndsThoughNobodyTakesWhatIsThere() throws Exception {
-        CountDownLatch asked = new CountDownLatch(2);
+    public void threadEndsWhileAConnectionStaysQueued() throws Exception {
+        CountDownLatch polled = new CountDownLatch(2);
         Acceptor acceptor = new Acceptor(
                 ANY,
                 false,
                 Clock.systemUTC(),
                 () -> {
-                    asked.countDown();
+                    polled.countDown();
                     return false;
                 },
                 (channel, queuedSince) -> {});
         try (SocketChannel client = SocketChannel.open(acceptor.address())) {
-            asked.await(); // the acceptor has polled and waited at least once
+            polled.await(); // the acceptor has polled and waited at least once
             acceptor.abandon();
-            for (int i = 0; i < 1000 && !acceptor.ended(); i++) {
+            for (int i = 0; i < 1000 && !acceptor.isClosed(); i++) {
                 TimeUnit.MILLISECONDS.sleep(10);
             }
-            assertTrue(acceptor.ended(), "the acceptor's thread did not end after abandon()");
+            assertTrue(acceptor.isClosed(), "the acceptor's thread did not end after abandon()");
         }
     }
 }
