--- a/src/test/java/copperbeam/transport/DescriptorBudgetTest.java
+++ b/src/test/java/copperbeam/transport/DescriptorBudgetTest.java
@@ -11,7 +11,7 @@
 
 public class DescriptorBudgetTest {
     private static final int LIMIT = 256;
-    private static final int IDLE = 20;
+    private static final int IDLE_CONNECTIONS = 20;
 
     /**
      * Columns: open descriptors, connections to servers, open requests; expected: clients granted, whether one more request
@@ -36,21 +36,24 @@
     }
 
     @Test(dataProvider = "states")
-    public void whatIsLeftIsKeptForWhoNeedsItMost(
-            int open, int connections, int requests, int granted, boolean served, boolean connected) {
-        DescriptorBudget budget = new DescriptorBudget(LIMIT, IDLE, () -> connections, () -> open, () -> 0);
-        assertEquals(budget.serves(requests), served);
-        assertEquals(budget.connects(), connected);
+    public void descriptorsAreReservedByPriority(
+            int open, int connections, int requests, int granted, boolean mayBegin, boolean mayConnect) {
+        DescriptorBudget budget = new DescriptorBudget(LIMIT, IDLE_CONNECTIONS, () -> connections, () -> open, () -> 0);
+        assertEquals(budget.mayBeginRequest(requests), mayBegin);
+        assertEquals(budget.mayConnectToServer(), mayConnect);
         assertEquals(
-                IntStream.range(0, LIMIT).filter(i -> budget.grants(requests)).count(), granted);
+                IntStream.range(0, LIMIT)
+                        .filter(i -> budget.grantClient(requests))
+                        .count(),
+                granted);
     }
 
     /** Connections opened between two readings of the system's count are counted at once. */
     @Test
     public void connectionsCountAsTheyAreOpened() {
         AtomicInteger connections = new AtomicInteger();
-        DescriptorBudget budget = new DescriptorBudget(LIMIT, IDLE, connections::get, () -> 238, () -> 0);
-        while (budget.connects()) {
+        DescriptorBudget budget = new DescriptorBudget(LIMIT, IDLE_CONNECTIONS, connections::get, () -> 238, () -> 0);
+        while (budget.mayConnectToServer()) {
             connections.incrementAndGet();
         }
         assertEquals(connections.get(), 10);
@@ -58,14 +61,15 @@
 
     /** A closed connection's descriptor counts until the system no longer counts it. */
     @Test
-    public void whatHasClosedIsGrantedOnceTheSystemSaysSo() {
+    public void closedDescriptorsAreGrantedAfterTheNextReading() {
         AtomicLong open = new AtomicLong(232);
         AtomicLong now = new AtomicLong();
-        DescriptorBudget budget = new DescriptorBudget(LIMIT, IDLE, () -> IDLE, open::get, now::get);
-        assertEquals(budget.grants(0), false);
+        DescriptorBudget budget =
+                new DescriptorBudget(LIMIT, IDLE_CONNECTIONS, () -> IDLE_CONNECTIONS, open::get, now::get);
+        assertEquals(budget.grantClient(0), false);
         open.set(231);
         now.addAndGet(TimeUnit.MILLISECONDS.toNanos(6));
-        assertEquals(budget.grants(0), true);
-        assertEquals(budget.grants(0), false);
+        assertEquals(budget.grantClient(0), true);
+        assertEquals(budget.grantClient(0), false);
     }
 }
--- a/src/test/java/copperbeam/transport/FairTurnTest.java
+++ b/src/test/java/copperbeam/transport/FairTurnTest.java
@@ -11,8 +11,8 @@
 import org.testng.annotations.Test;
 
 public class FairTurnTest {
-    private static final int EVENT = 1000;
-    private static final int MOST_EVENTS = 1000; // a single call that writes so many would never end
+    private static final int EVENT_BYTES = 1000;
+    private static final int MAX_EVENTS = 1000; // a single call that writes so many would never end
 
     /** A fast server and client: whenever an event is written, the next one is already available. */
     @Test
@@ -21,11 +21,11 @@
                 getClass().getClassLoader(),
                 new Class<?>[] {IOSession.class},
                 (proxy, method, args) -> method.getReturnType() == int.class ? 0 : null);
-        ClientRoom room = new ClientRoom(10, 1000);
+        ClientConnections allClients = new ClientConnections(10, 1000);
         Clock clock = Clock.systemUTC();
         ServerExchange exchange = new ServerExchange(
-                room.enter(session, clock.instant()),
-                room,
+                allClients.register(session, clock.instant()),
+                allClients,
                 (call, reply) -> () -> {},
                 clock,
                 () -> false,
@@ -39,14 +39,14 @@
                     ByteBuffer bytes = (ByteBuffer) args[0];
                     int count = bytes.remaining();
                     bytes.position(bytes.limit());
-                    if (events.incrementAndGet() < MOST_EVENTS) {
-                        exchange.write(new byte[EVENT], null);
+                    if (events.incrementAndGet() < MAX_EVENTS) {
+                        exchange.write(new byte[EVENT_BYTES], null);
                     }
                     return count;
                 });
-        exchange.write(new byte[EVENT], null);
+        exchange.write(new byte[EVENT_BYTES], null);
         exchange.produce(channel);
-        assertTrue(events.get() < MOST_EVENTS, "one produce() call wrote " + events + " events");
+        assertTrue(events.get() < MAX_EVENTS, "one produce() call wrote " + events + " events");
         assertTrue(exchange.available() > 0, "the rest must stay available for the next call");
     }
 }
--- a/src/test/java/copperbeam/transport/LastByteTest.java
+++ b/src/test/java/copperbeam/transport/LastByteTest.java
@@ -29,33 +29,33 @@
  */
 public class LastByteTest {
     /** Simulates a non-blocking socket of the operating system, as the test scripts it. */
-    private static final class System {
+    private static final class FakeSocket {
         final Queue<Command> commands = new ArrayDeque<>();
         final ReentrantLock lock = new ReentrantLock();
         final ProtocolIOSession session = (ProtocolIOSession) Proxy.newProxyInstance(
                 getClass().getClassLoader(),
                 new Class<?>[] {ProtocolIOSession.class},
-                (proxy, method, args) -> call(method.getName(), args));
+                (proxy, method, args) -> invoke(method.getName(), args));
         final IOEventHandler handler;
-        final StringBuilder taken = new StringBuilder();
-        int room = Integer.MAX_VALUE;
+        final StringBuilder sent = new StringBuilder();
+        int sendCapacity = Integer.MAX_VALUE;
         boolean reset; // by the peer; not yet noticed by the reactor
-        boolean ended;
+        boolean peerClosed;
         boolean open = true;
-        String answer = ""; // received from the server, but not read yet
+        String unreadInput = ""; // received from the server, but not read yet
 
-        System() throws IOException {
-            handler = ClientReactor.handler(session, new ClientReactor.Life() {
+        FakeSocket() throws IOException {
+            handler = ClientReactor.newHandler(session, new ClientReactor.SessionListener() {
                 @Override
-                public void up(IOSession up) {}
+                public void opened(IOSession up) {}
 
                 @Override
-                public void down() {}
+                public void closed() {}
             });
             handler.connected(session);
         }
 
-        private Object call(String name, Object[] args) throws IOException {
+        private Object invoke(String name, Object[] args) throws IOException {
             return switch (name) {
                 case "read" -> read((ByteBuffer) args[0]);
                 case "write" -> write((ByteBuffer) args[0]);
@@ -75,28 +75,28 @@
             if (reset) {
                 throw new IOException("reset");
             }
-            if (!answer.isEmpty()) {
-                to.put(answer.getBytes(StandardCharsets.US_ASCII));
-                int count = answer.length();
-                answer = "";
+            if (!unreadInput.isEmpty()) {
+                to.put(unreadInput.getBytes(StandardCharsets.US_ASCII));
+                int count = unreadInput.length();
+                unreadInput = "";
                 return count;
             }
-            return ended ? -1 : 0;
+            return peerClosed ? -1 : 0;
         }
 
         private int write(ByteBuffer from) throws IOException {
             if (reset || !open) {
                 throw new IOException(open ? "reset" : "closed");
             }
-            byte[] bytes = new byte[Math.min(room, from.remaining())];
+            byte[] bytes = new byte[Math.min(sendCapacity, from.remaining())];
             from.get(bytes);
-            room -= bytes.length;
-            taken.append(new String(bytes, StandardCharsets.US_ASCII));
+            sendCapacity -= bytes.length;
+            sent.append(new String(bytes, StandardCharsets.US_ASCII));
             return bytes.length;
         }
 
         /** Runs one turn as the reactor does: an exception ends the connection. */
-        void turn(boolean input) {
+        void runTurn(boolean input) {
             try {
                 if (input) {
                     handler.inputReady(session, null);
@@ -111,16 +111,19 @@
     private static final String BODY = "{\"a\":1}";
 
     private static final class Exchange extends ClientExchange {
-        final List<String> told = new ArrayList<>();
-        boolean wanted = true;
+        final List<String> events = new ArrayList<>();
+        boolean maySendLastByte = true;
 
-        Exchange(boolean hold) {
-            super(new BasicHttpRequest("POST", new HttpHost("x"), "/"), BODY.getBytes(StandardCharsets.US_ASCII), hold);
+        Exchange(boolean holdLastByte) {
+            super(
+                    new BasicHttpRequest("POST", new HttpHost("x"), "/"),
+                    BODY.getBytes(StandardCharsets.US_ASCII),
+                    holdLastByte);
         }
 
         @Override
-        boolean wanted() {
-            return wanted;
+        boolean maySendLastByte() {
+            return maySendLastByte;
         }
 
         @Override
@@ -130,41 +133,41 @@
         void data(ByteBuffer bytes) {}
 
         @Override
-        void whole(boolean reusable) {
-            told.add("whole");
+        void completed(boolean reusable) {
+            events.add("whole");
         }
 
         @Override
         void broken(boolean mayHaveRun) {
-            told.add(mayHaveRun ? "may have run" : "has not run");
+            events.add(mayHaveRun ? "may have run" : "has not run");
         }
 
         @Override
         void sent() {
-            told.add("sent");
+            events.add("sent");
         }
 
         @Override
-        void held() {
-            told.add("held");
+        void lastByteHeld() {
+            events.add("held");
         }
     }
 
-    private static Exchange begin(System system, boolean hold) {
-        Exchange exchange = new Exchange(hold);
-        ClientReactor.execute(system.session, exchange);
-        system.turn(false);
+    private static Exchange startExchange(FakeSocket socket, boolean holdLastByte) {
+        Exchange exchange = new Exchange(holdLastByte);
+        ClientReactor.execute(socket.session, exchange);
+        socket.runTurn(false);
         return exchange;
     }
 
     /** Runs a request up to the point where HttpCore buffers its last byte and would send it in the next turn. */
-    private static Exchange untilItGoes(System system) {
-        Exchange exchange = begin(system, true);
-        system.turn(false);
-        assertEquals(exchange.told, List.of("held"));
-        exchange.let();
-        system.turn(false);
-        assertTrue(system.taken.toString().endsWith(BODY.substring(0, BODY.length() - 1)));
+    private static Exchange untilLastByteBuffered(FakeSocket socket) {
+        Exchange exchange = startExchange(socket, true);
+        socket.runTurn(false);
+        assertEquals(exchange.events, List.of("held"));
+        exchange.sendLastByte();
+        socket.runTurn(false);
+        assertTrue(socket.sent.toString().endsWith(BODY.substring(0, BODY.length() - 1)));
         return exchange;
     }
 
@@ -173,58 +176,58 @@
      * of the hold.
      */
     @Test
-    public void theHoldBeginsOnceAllElseHasLeft() throws Exception {
-        System system = new System();
-        system.room = 0;
-        Exchange exchange = begin(system, true);
-        system.turn(false);
-        system.room = 20;
-        system.turn(false);
-        assertEquals(exchange.told, List.of());
-        system.room = 10_000;
-        system.turn(false);
-        system.turn(false);
-        assertEquals(exchange.told, List.of("held"));
-        assertTrue(system.taken.toString().endsWith(BODY.substring(0, BODY.length() - 1)));
+    public void theHoldBeginsOnceAllOtherBytesWereSent() throws Exception {
+        FakeSocket socket = new FakeSocket();
+        socket.sendCapacity = 0;
+        Exchange exchange = startExchange(socket, true);
+        socket.runTurn(false);
+        socket.sendCapacity = 20;
+        socket.runTurn(false);
+        assertEquals(exchange.events, List.of());
+        socket.sendCapacity = 10_000;
+        socket.runTurn(false);
+        socket.runTurn(false);
+        assertEquals(exchange.events, List.of("held"));
+        assertTrue(socket.sent.toString().endsWith(BODY.substring(0, BODY.length() - 1)));
     }
 
     /** Guards against counting the last byte as sent when HttpCore had buffered it but failed to write it to the socket. */
     @Test
-    public void aByteThatFailsToLeaveHasNotRun() throws Exception {
-        for (boolean hold : new boolean[] {true, false}) {
-            System system = new System();
-            Exchange exchange = hold ? untilItGoes(system) : begin(system, false);
-            exchange.told.clear();
-            system.reset = true;
-            system.turn(false);
-            assertEquals(exchange.told, List.of("has not run"));
-            assertFalse(system.open);
+    public void aRequestWhoseLastByteFailsToBeSentHasNotRun() throws Exception {
+        for (boolean holdLastByte : new boolean[] {true, false}) {
+            FakeSocket socket = new FakeSocket();
+            Exchange exchange = holdLastByte ? untilLastByteBuffered(socket) : startExchange(socket, false);
+            exchange.events.clear();
+            socket.reset = true;
+            socket.runTurn(false);
+            assertEquals(exchange.events, List.of("has not run"));
+            assertFalse(socket.open);
         }
     }
 
     @Test
-    public void aByteThatFindsNoRoomHasNotRun() throws Exception {
-        System system = new System();
-        Exchange exchange = untilItGoes(system);
-        system.room = 0;
-        system.turn(false);
-        system.reset = true;
-        system.turn(true);
-        assertEquals(exchange.told, List.of("held", "has not run"));
+    public void aRequestWhoseLastByteStaysBufferedHasNotRun() throws Exception {
+        FakeSocket socket = new FakeSocket();
+        Exchange exchange = untilLastByteBuffered(socket);
+        socket.sendCapacity = 0;
+        socket.runTurn(false);
+        socket.reset = true;
+        socket.runTurn(true);
+        assertEquals(exchange.events, List.of("held", "has not run"));
     }
 
     @Test
-    public void aByteThatLeftMayHaveRun() throws Exception {
-        for (boolean end : new boolean[] {true, false}) {
-            System system = new System();
-            Exchange exchange = untilItGoes(system);
-            system.turn(false);
-            assertTrue(system.taken.toString().endsWith(BODY));
-            assertEquals(exchange.told, List.of("held", "sent"));
-            system.ended = end;
-            system.reset = !end;
-            system.turn(true);
-            assertEquals(exchange.told, List.of("held", "sent", "may have run"));
+    public void aRequestWhoseLastByteWasSentMayHaveRun() throws Exception {
+        for (boolean peerCloses : new boolean[] {true, false}) {
+            FakeSocket socket = new FakeSocket();
+            Exchange exchange = untilLastByteBuffered(socket);
+            socket.runTurn(false);
+            assertTrue(socket.sent.toString().endsWith(BODY));
+            assertEquals(exchange.events, List.of("held", "sent"));
+            socket.peerClosed = peerCloses;
+            socket.reset = !peerCloses;
+            socket.runTurn(true);
+            assertEquals(exchange.events, List.of("held", "sent", "may have run"));
         }
     }
 
@@ -233,33 +236,33 @@
      * byte is sent.
      */
     @Test
-    public void theByteStaysWhereTheServerHasEnded() throws Exception {
-        System system = new System();
-        Exchange exchange = untilItGoes(system);
-        system.ended = true;
-        system.turn(false);
-        assertEquals(exchange.told, List.of("held", "has not run"));
-        assertTrue(system.taken.toString().endsWith(BODY.substring(0, BODY.length() - 1)));
+    public void theLastByteIsNotSentAfterTheServerClosed() throws Exception {
+        FakeSocket socket = new FakeSocket();
+        Exchange exchange = untilLastByteBuffered(socket);
+        socket.peerClosed = true;
+        socket.runTurn(false);
+        assertEquals(exchange.events, List.of("held", "has not run"));
+        assertTrue(socket.sent.toString().endsWith(BODY.substring(0, BODY.length() - 1)));
     }
 
     /** If the client goes away while the last byte is held back or waits for buffer space, the byte must not be sent. */
     @Test
-    public void theByteStaysWhereNobodyWaitsForItAnyMore() throws Exception {
-        for (int at = 0; at < 3; at++) {
-            System system = new System();
-            system.room = at == 0 ? 0 : Integer.MAX_VALUE;
-            Exchange exchange = at == 2 ? untilItGoes(system) : begin(system, at == 1);
-            if (at == 1) {
-                system.turn(false);
-                exchange.let();
+    public void theLastByteIsNotSentForAClientThatHasGone() throws Exception {
+        for (int stage = 0; stage < 3; stage++) {
+            FakeSocket socket = new FakeSocket();
+            socket.sendCapacity = stage == 0 ? 0 : Integer.MAX_VALUE;
+            Exchange exchange = stage == 2 ? untilLastByteBuffered(socket) : startExchange(socket, stage == 1);
+            if (stage == 1) {
+                socket.runTurn(false);
+                exchange.sendLastByte();
             }
-            exchange.told.clear();
-            exchange.wanted = false;
-            system.room = Integer.MAX_VALUE;
-            system.turn(false);
-            assertEquals(exchange.told, List.of("has not run"));
-            assertFalse(system.open);
-            assertFalse(system.taken.toString().endsWith(BODY));
+            exchange.events.clear();
+            exchange.maySendLastByte = false;
+            socket.sendCapacity = Integer.MAX_VALUE;
+            socket.runTurn(false);
+            assertEquals(exchange.events, List.of("has not run"));
+            assertFalse(socket.open);
+            assertFalse(socket.sent.toString().endsWith(BODY));
         }
     }
 
@@ -267,28 +270,28 @@
 
     /** The early response decides the outcome; sending the last byte after it would start a request that counts as not started. */
     @Test
-    public void theByteStaysBehindAnAnswer() throws Exception {
+    public void theLastByteIsNotSentAfterAnEarlyResponse() throws Exception {
         for (String answer : List.of("0\r\n\r\n", "2\r\n\r\nno", "2\r\n\r\n")) {
             for (boolean input : new boolean[] {false, true}) {
-                for (int at = 0; at < 3; at++) {
-                    System system = new System();
-                    system.room = at == 0 ? 0 : Integer.MAX_VALUE;
-                    Exchange exchange = at == 2 ? untilItGoes(system) : begin(system, at == 1);
-                    if (at == 1) {
-                        system.turn(false);
-                        exchange.let();
+                for (int stage = 0; stage < 3; stage++) {
+                    FakeSocket socket = new FakeSocket();
+                    socket.sendCapacity = stage == 0 ? 0 : Integer.MAX_VALUE;
+                    Exchange exchange = stage == 2 ? untilLastByteBuffered(socket) : startExchange(socket, stage == 1);
+                    if (stage == 1) {
+                        socket.runTurn(false);
+                        exchange.sendLastByte();
                     }
-                    exchange.told.clear();
-                    system.answer = REFUSAL + answer;
-                    system.room = Integer.MAX_VALUE;
-                    system.turn(input || at < 2);
-                    for (int i = 0; i < 4 && system.open; i++) {
-                        system.turn(false);
+                    exchange.events.clear();
+                    socket.unreadInput = REFUSAL + answer;
+                    socket.sendCapacity = Integer.MAX_VALUE;
+                    socket.runTurn(input || stage < 2);
+                    for (int i = 0; i < 4 && socket.open; i++) {
+                        socket.runTurn(false);
                     }
-                    assertFalse(system.taken.toString().endsWith(BODY), answer + at);
-                    boolean whole = !answer.endsWith("\n") || answer.startsWith("0");
-                    assertEquals(exchange.told, whole ? List.of("whole") : List.of());
-                    assertEquals(system.open, !whole);
+                    assertFalse(socket.sent.toString().endsWith(BODY), answer + stage);
+                    boolean complete = !answer.endsWith("\n") || answer.startsWith("0");
+                    assertEquals(exchange.events, complete ? List.of("whole") : List.of());
+                    assertEquals(socket.open, !complete);
                 }
             }
         }
@@ -297,21 +300,21 @@
     /** On a reused connection, a response that comes before the last byte was sent is a second response to the previous call. */
     @Test
     public void aLateSecondAnswerIsNoAnswerToTheNextCall() throws Exception {
-        for (int at = 0; at < 2; at++) {
-            System system = new System();
-            untilItGoes(system);
-            system.turn(false);
-            system.answer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab";
-            system.turn(true);
-            assertTrue(system.open);
-            system.taken.setLength(0);
-            Exchange next = at == 0 ? begin(system, true) : untilItGoes(system);
-            next.told.clear();
-            system.answer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab";
-            system.turn(true);
-            assertEquals(next.told, List.of("has not run"));
-            assertFalse(system.open);
-            assertFalse(system.taken.toString().endsWith(BODY));
+        for (int stage = 0; stage < 2; stage++) {
+            FakeSocket socket = new FakeSocket();
+            untilLastByteBuffered(socket);
+            socket.runTurn(false);
+            socket.unreadInput = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab";
+            socket.runTurn(true);
+            assertTrue(socket.open);
+            socket.sent.setLength(0);
+            Exchange next = stage == 0 ? startExchange(socket, true) : untilLastByteBuffered(socket);
+            next.events.clear();
+            socket.unreadInput = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab";
+            socket.runTurn(true);
+            assertEquals(next.events, List.of("has not run"));
+            assertFalse(socket.open);
+            assertFalse(socket.sent.toString().endsWith(BODY));
         }
     }
 }
--- a/src/test/java/copperbeam/transport/ListenQueueAgeTest.java
+++ b/src/test/java/copperbeam/transport/ListenQueueAgeTest.java
@@ -31,14 +31,14 @@
 
     /** The first connection may have waited since the start, the second one only since the marker between them was sent. */
     @Test
-    public void whoIsAcceptedBehindAMarkerCameLater() throws Exception {
+    public void aConnectionAcceptedAfterAMarkerArrivedLater() throws Exception {
         try (ServerSocketChannel listener = ServerSocketChannel.open().bind(new InetSocketAddress("127.0.0.1", 0));
                 ListenQueueAge age = new ListenQueueAge((InetSocketAddress) listener.getLocalAddress(), clock);
                 SocketChannel first = SocketChannel.open(listener.getLocalAddress())) {
-            age.filled();
-            age.mark(); // not due yet
+            age.queueFilled();
+            age.sendMarkerIfDue(); // not due yet
             now.set(START.plus(STEP));
-            age.mark();
+            age.sendMarkerIfDue();
             now.set(START.plus(STEP.multipliedBy(2)));
             try (SocketChannel second = SocketChannel.open(listener.getLocalAddress())) {
                 assertFalse(age.takeMarker(accept(listener, first)));
@@ -47,23 +47,23 @@
                 assertFalse(age.takeMarker(accept(listener, second)));
                 assertEquals(age.waitingSince(), START.plus(STEP));
             }
-            age.emptied();
-            age.filled();
+            age.queueEmptied();
+            age.queueFilled();
             assertEquals(age.waitingSince(), now.get());
         }
     }
 
     /** A marker is lost, as the queue was full or another process accepted it: a later marker is still recognized. */
     @Test
-    public void aLostMarkerHoldsNothingUp() throws Exception {
+    public void aMarkerIsRecognizedAfterALostOne() throws Exception {
         try (ServerSocketChannel listener = ServerSocketChannel.open().bind(new InetSocketAddress("127.0.0.1", 0));
                 ListenQueueAge age = new ListenQueueAge((InetSocketAddress) listener.getLocalAddress(), clock)) {
-            age.filled();
+            age.queueFilled();
             now.set(START.plus(STEP));
-            age.mark();
+            age.sendMarkerIfDue();
             listener.accept().close(); // as if another process had accepted it
             now.set(START.plus(STEP.multipliedBy(2)));
-            age.mark();
+            age.sendMarkerIfDue();
             assertTrue(age.takeMarker(listener.accept()), "the accepted connection is not the second marker");
             assertEquals(age.waitingSince(), now.get());
         }
