--- a/deploy/plugins/refuse-long.wat
+++ b/deploy/plugins/refuse-long.wat
@@ -1,4 +1,5 @@
-;; Refuses prompts of more than 16,000 tokens for two seconds; refuse-long.wasm is this text assembled.
+;; Example of a request hook: refuses requests whose prompt exceeds 16,000 tokens, with a retry time of 2,000 ms.
+;; refuse-long.wasm is the binary form of this file.
 (module
   (func (export "on_request")
     (param $class i32) (param $prompt i32) (param $shared i32) (param $answer i32)
