--- a/src/main/java/copperbeam/Api.java
+++ b/src/main/java/copperbeam/Api.java
@@ -175,7 +175,10 @@
     /** The server list, or changes to it. */
     public record ServerListUpdate(ListKind kind, List<Member> members) implements Event {}
 
-    /** An entry of the server list. {@code launchedAt}: 0 for a server that started long ago. */
+    /**
+     * An entry of the server list. {@code launchedAt}: 0 for a server that started long ago. {@code weight}: as the
+     * list tells it; the module doesn't use it.
+     */
     public record Member(
             String server, String zone, String kind, long cell, ServerState state, double weight, double launchedAt) {}
 
@@ -278,7 +281,10 @@
     /** How a health probe ended; {@code report} may be null. */
     public record ProbeEnded(String server, Outcome outcome, double latencyS, Report report) implements Event {}
 
-    /** A server's report of its own load; each value may be NaN. {@code openRequests}: all requests there. */
+    /**
+     * A server's report of its own load; each value may be NaN. {@code slotShare}, {@code memoryShare}: the parts of
+     * its slots and of its read-state memory in use, from 0 to 1. {@code openRequests}: all requests there.
+     */
     public record Report(
             double slotShare,
             double waitingRequests,
--- a/src/main/java/copperbeam/Brain.java
+++ b/src/main/java/copperbeam/Brain.java
@@ -44,10 +44,10 @@
     private static final double DEVIATIONS = 4; // mean deviations over the mean latency, as in TCP's timeout
     private static final double ATTEMPT_TIME_SHARE = 0.5; // share of the time left, if a repeat is possible
     private static final double MIXED_FRESH = 0.5; // share of a mixed server that reads, with a fresh report
-    private static final double MIXED_STALE = 0.2; // the same without: reading in place slows its answers
+    private static final double MIXED_STALE = 0.2; // without one: lower, as reads slow its answers
     private static final double BUSY_SLOT_SHARE = 0.5; // slots in use at which a mixed server takes no reads
     private static final double PREFIX_DECAY_S = 30; // s in which a prefix's count of arrivals falls e-fold
-    private static final double PRIOR = 10; // arrivals added to the total: a share of few tells little
+    private static final double PRIOR = 10; // arrivals added to the total, so that a few make no large share
     private static final int MAX_PREFIXES = 2000; // prefixes counted at a time
     private static final double FULL_MEMORY_SHARE = 0.88; // memory share from which a writer has no room
     private static final double OVERTAKEN_BY = 1; // timeouts from a lost write to a later, answered one
@@ -57,7 +57,7 @@
     private static final double LEASE_HOLD_SHARE = 0.5; // share of its lease for which a read state is held
     // Outlier ejection.
     private static final double FAILURE_EWMA_WEIGHT = 0.3; // weight of an outcome in the failure share
-    private static final double HEALTHY_SHARE = 0.1; // failure share: a failure and then four successes
+    private static final double HEALTHY_FAIL_SHARE = 0.1; // healthy below it: 1 failure, then 4 successes
     private static final double EJECT_SHARE = 0.4; // failure share from which a server is ejected
     private static final double READMISSION_SHARE = 0.7; // share of EJECT_SHARE kept at most on readmission
     private static final double FIRST_EJECTION_S = 1; // s; doubled at each further ejection
@@ -68,7 +68,7 @@
     private static final double PROBE_INTERVAL_S = 0.25; // s between checks which servers are due for a probe
     private static final double PROBE_TIMEOUT_S = 0.3; // s after which a probe counts as unanswered
     private static final double SILENCE_S = 0.5; // s without a sign of life until a server is probed
-    private static final double LOAD_PROBE_S = 0.015; // s; round trip in a site and an idle server's answer
+    private static final double LOAD_PROBE_S = 0.015; // s that a request waits for load probe answers
     private static final int RESERVED_PROBES = 5; // probes kept back for one request's candidates
     private static final double PROBE_BUDGET = 0.01; // most points of service spent on probes per request
     // Server list.
@@ -115,7 +115,7 @@
         int index = settings.index();
         double phase = index < 0 ? random.nextDouble() : index / (double) settings.nodes();
         slowStart = new SlowStart(settings, phase);
-        settings.classes().forEach(customer -> classes.put(customer.name(), customer));
+        settings.classes().forEach(c -> classes.put(c.name(), c));
         settings.kinds().forEach(k -> kinds.put(k.name(), k));
         for (Customer customer : settings.customers()) {
             double quotaPerS = customer.quotaPerS() / settings.nodes();
@@ -125,19 +125,19 @@
     }
 
     /** The number of servers and requests held in memory. */
-    int trackedRecords() {
+    int trackedRecordCount() {
         return servers.size() + requests.size();
     }
 
     /** The number of listed servers that get no attempts now: draining, banned by an operator, or ejected. */
-    public int avoidedServers() {
+    public int avoidedServerCount() {
         return (int) servers.values().stream().filter(s -> s.member != null
                 && s.member.state() != ServerState.GONE && (s.ejected || !s.isReady())).count();
     }
 
-    /** Handles one event, at {@code clock} seconds, and returns the actions to carry out, in order. */
-    public List<Action> onEvent(double clock, Event event) {
-        now = clock;
+    /** Handles an event at {@code eventTime}, in seconds; returns the actions to carry out, in order. */
+    public List<Action> onEvent(double eventTime, Event event) {
+        now = eventTime;
         actions = new ArrayList<>();
         initialize();
         if (event instanceof ServerListUpdate e) {
@@ -283,8 +283,8 @@
     /**
      * The probability of refusing a request whose wait would make it miss its aim, by the same curve as on
      * arrival: where all answers would be late, refusing some lets others be in time. Applies to top classes
-     * too, against overload that shedding low worth cannot lift. Refusals do not shorten the work itself:
-     * where the aim leaves little time beside it, a normal wait is tolerated, within the deadline.
+     * too, as overload may remain where all requests of low worth are refused. Refusals don't shorten the
+     * service time: where the aim leaves little more, a normal wait is tolerated, within the deadline.
      */
     private double lateRefusalChance(Request r, Server server, int rank) {
         double prompt = r.arrival.promptTokens();
@@ -296,7 +296,7 @@
         return refusalChance(CERTAIN_SATURATION * expectedWaitS(server) / Math.max(maxWaitS, 0.001));
     }
 
-    /** Seconds to the first token without other requests; {@code anew}: prompt tokens not in the cache. */
+    /** Seconds to the first token without other requests; {@code anew}: tokens a reader has to read. */
     private double idleLatencyS(Server first, double anew, double prompt) {
         return first.role != Role.READER ? inPlaceTime.of(prompt) : readTime.of(anew) + fetchTime.of(prompt);
     }
@@ -505,9 +505,9 @@
     }
 
     /**
-     * The less loaded of two candidates by this node's tokens, with what each would read of this prompt.
-     * Fresh reports decide, else it is the first, where the tokens are equal, where both servers were just
-     * probed and, for a read, where the home has fewer tokens.
+     * The less loaded of two candidates by this node's tokens, with what each would read of this prompt. If
+     * the tokens are equal, if both servers were just probed or if, for a read, the home has fewer tokens,
+     * the reports decide where both are fresh; else it is the first.
      */
     private Server lighter(Server a, Server b, Request request) {
         double extra = request.holdsState ? 0 : tokensToRead(request, 1) - tokensToRead(request, 0);
@@ -617,7 +617,7 @@
             double fit = r.holdsState || settings.writersRead() || s.role == Role.MIXED ? fitness(s, r) : 0;
             if (fit > 0) {
                 fit *= (1 - readShare(s)) * (hasRoom(s) ? 1 : TINY * TINY);
-                fit *= s.failShare < HEALTHY_SHARE || r.type.isRepeatable() ? 1 : TINY * TINY;
+                fit *= s.failShare < HEALTHY_FAIL_SHARE || r.type.isRepeatable() ? 1 : TINY * TINY;
                 fit *= cell == null ? 1 : cell.transferWeight(cells.cellOf(s.member), inCell, inZone, TINY);
                 pair.offer(s, fit / -Math.log(1 - random.nextDouble()), fit);
             }
@@ -966,9 +966,9 @@
         probeCredit = Math.min(probeCredit + probesPerS * PROBE_INTERVAL_S, serverCount);
         boolean probesOnly = settings.reportTiming() == ReportTiming.WITH_PROBES;
         for (Server server : servers.values()) {
-            double heard = probesOnly ? server.probedAt : Math.max(server.heardAt, server.probedAt);
+            double seenAt = probesOnly ? server.probedAt : Math.max(server.heardAt, server.probedAt);
             boolean relevant = server.ejected || !server.inFlight.isEmpty();
-            if (server.isReady() && relevant && probeCredit >= RESERVED_PROBES && now - heard >= SILENCE_S) {
+            if (server.isReady() && relevant && probeCredit >= RESERVED_PROBES && now - seenAt >= SILENCE_S) {
                 probe(server);
             }
         }
--- a/src/main/java/copperbeam/ColdBudget.java
+++ b/src/main/java/copperbeam/ColdBudget.java
@@ -22,7 +22,7 @@
     private static final double MIN_PAID_SHARE = 0.5;
     /** Lower bound of the durations of the rule, which are 0 where the settings give none. */
     private static final double MIN_DURATION_S = 0.1;
-    /** Below this budget, in requests per window, the rule allows a larger excess by chance. */
+    /** Requests per window: below this budget, the rule allows a larger excess by chance, the slack. */
     private static final double SMALL_BUDGET_REQUESTS = 30;
     /** Share of a small budget that is left for turns. */
     private static final double SMALL_BUDGET_TURN_SHARE = 1 - PERMIT_SHARE;
--- a/src/main/java/copperbeam/SlowStart.java
+++ b/src/main/java/copperbeam/SlowStart.java
@@ -23,7 +23,7 @@
     /** Upper bound assumed for the ratio of one process's demand to the mean demand of all processes. */
     private static final double MAX_DEMAND_SKEW_RATIO = 3;
 
-    /** No read is held before the demand has been measured for this time, as it says little until then. */
+    /** No read has to wait before demand was measured for so long: the measured rate says little until then. */
     private static final double MIN_DEMAND_HISTORY_S = 1;
 
     /** Only a process that gets at least this share of its node's traffic uses the node's turns. */
@@ -67,7 +67,7 @@
             maxReadyCount = Math.max(maxReadyCount, servers.size());
         }
 
-        int serverCount() {
+        int maxServerCount() {
             return Math.max(maxReadyCount, 1);
         }
     }
@@ -251,7 +251,7 @@
         }
         double maxWeight = weights.upperBound(weight);
         double demandIfUniform =
-                demand.ratePerS(now) * settings.nodes() / stageOf(server).serverCount();
+                demand.ratePerS(now) * settings.nodes() / stageOf(server).maxServerCount();
         double minDemand = demandIfUniform / Math.min(settings.nodes(), MAX_DEMAND_SKEW_RATIO);
         int turnCount = (int) (budget.roomBesidePermits(server.permits, minDemand, now) / maxWeight);
         boolean firstTurnFits = budget.roomBesidePermits(server.permits, demandIfUniform, now) >= maxWeight
@@ -260,7 +260,7 @@
     }
 
     private double demandShare(Server server) {
-        return trafficShare / stageOf(server).serverCount();
+        return trafficShare / stageOf(server).maxServerCount();
     }
 
     private Stage stageOf(Server server) {
--- a/src/main/java/copperbeam/State.java
+++ b/src/main/java/copperbeam/State.java
@@ -464,9 +464,9 @@
         final Member memberWhenSent; // the server's list entry: the server may leave the list before the outcome
         final int number;
         final boolean isRead; // sent to a reader, to read the prompt
-        final int rank; // of its server among the candidates: 0 is the home reader
+        final int rank; // of its server among the candidates; for a read, 0 is the home reader
         final double sentAt;
-        final double tokens; // of the prompt that the server has to read, or whose state it has to hold
+        final double tokens; // prompt tokens: those a reader has to read; at other servers all of the prompt
         final ServiceTime serviceTime; // the estimate for attempts of the same sort
         double queuedAheadTokens; // tokens queued before it at the server, as far as known when it was sent
         boolean isUnreported = true; // is in its server's unreportedTokens
--- a/src/main/java/copperbeam/handover/SharedState.java
+++ b/src/main/java/copperbeam/handover/SharedState.java
@@ -39,7 +39,8 @@
                     .thenComparing(Drain::changedAt)
                     .thenComparing(Drain::drained));
     private static final Comparator<Map.Entry<String, ProcessInfo>> BY_START = Comparator.comparing(
-                    (Map.Entry<String, ProcessInfo> life) -> life.getValue().startedAt())
+                    (Map.Entry<String, ProcessInfo> process) ->
+                            process.getValue().startedAt())
             .thenComparing(Map.Entry::getKey);
 
     /** No bans, no drain, no processes. */
@@ -110,7 +111,7 @@
     public SharedState {
         Objects.requireNonNull(drain);
         bans = bounded(bans, MAX_BANS, ban -> !ban.banned(), Ban::changedAt);
-        processes = bounded(processes, MAX_PROCESSES, life -> true, ProcessInfo::startedAt);
+        processes = bounded(processes, MAX_PROCESSES, process -> true, ProcessInfo::startedAt);
     }
 
     /**
@@ -144,7 +145,7 @@
     }
 
     /** Starts or ends a drain of the conductor. Returns this state if nothing changes. */
-    public SharedState drain(boolean drained, Instant changedAt) {
+    public SharedState withDrain(boolean drained, Instant changedAt) {
         return drain.drained() == drained
                 ? this
                 : new SharedState(bans, new Drain(drain.revision() + 1, drained, changedAt), processes);
--- a/src/main/java/copperbeam/handover/StateCodec.java
+++ b/src/main/java/copperbeam/handover/StateCodec.java
@@ -130,7 +130,7 @@
         rejectIf(
                 versionEnd >= 0
                         && !headerText.substring(MAGIC.length(), versionEnd).equals(FORMAT_VERSION),
-                "of another form version");
+                "of another format version");
         int headerEnd = headerText.indexOf('\n');
         rejectIf(headerEnd < 0, "truncated in its header");
         Matcher header = HEADER.matcher(headerText.substring(0, headerEnd));
@@ -196,8 +196,8 @@
                         .endObject();
             }
             writer.endObject().endObject();
-        } catch (IOException entry) {
-            throw new UncheckedIOException(entry); // can't happen with a StringWriter
+        } catch (IOException e) {
+            throw new UncheckedIOException(e); // can't happen with a StringWriter
         }
         return text.toString();
     }
--- a/src/main/java/copperbeam/lifecycle/Lifecycle.java
+++ b/src/main/java/copperbeam/lifecycle/Lifecycle.java
@@ -6,11 +6,12 @@
  * State machine of a conductor towards its clients: working, drained by an operator, or stopping. A drain takes the first
  * steps of a stop and stays there; a stop continues from the step that a drain has reached, and can't be undone.
  *
- * <p>In a rolling restart the next conductor is stopped about 3 s after this one, and this one is back about 3 s later
- * still. A stream cut here is resumed at the next conductor if it gets there before that one's stop; a stream cut there
- * is resumed here if it comes late enough. So clients are sent away from the start, and open requests are answered and
- * streams cut before the next conductor's stop. But if other conductors have cut streams lately they aren't back yet, and
- * streams are cut as late as possible. If a new process serves at the same address, clients can go there at once.
+ * <p>In a rolling restart the next conductor is stopped about 3 s after this one, and this one is back about 3 s after
+ * that. A stream that is cut here can be resumed at the next conductor until that conductor's own stop; a stream that
+ * is cut there can be resumed here once this conductor is back. So from the start of a stop clients are sent away, and
+ * open requests are answered and streams cut before the next conductor's stop. But if other conductors have cut streams
+ * lately, they aren't back yet, and streams are cut as late as possible. If a new process serves at the same address,
+ * clients can go there at once.
  */
 public final class Lifecycle {
     /** The steps, in order; only the first three can be undone. */
@@ -21,7 +22,7 @@
         SERVE,
         /** As {@link #SERVE}, and idle connections are closed. */
         LEAD_AWAY,
-        /** Nothing is open: no longer listens, but connections that the operating system has accepted are served. */
+        /** No client is connected: listening ends; connections that the operating system has accepted are served. */
         CLOSE,
         /** Open requests and those that still arrive get a final answer; no new connection is taken. */
         ANSWER,
@@ -106,7 +107,7 @@
         return stoppedAt != null;
     }
 
-    /** Whether health checks should pass; a successor answers at the same address. */
+    /** Whether health checks should pass: not in a drain, and in a stop only if a successor serves at this address. */
     public boolean isHealthy() {
         // health checks may reach the successor instead of this process
         return drainedAt == null && (stoppedAt == null || hasSuccessor);
@@ -133,7 +134,7 @@
     }
 
     /**
-     * Advances to the step that is due now and returns it. {@link Action#END} is reached only if the process had already
+     * Advances to the step that is due now and returns it. {@link Step#END} is reached only if the process had already
      * stopped listening before this call: requests sent to a listener that ends with its process would be lost.
      *
      * @param connectionsOpen clients are connected, or connections may still be pending at an address that is given up
@@ -142,7 +143,8 @@
     public Step advanceTo(Duration now, boolean connectionsOpen, boolean othersAway) {
         if (stoppedAt != null) {
             boolean wasClosed = !isListening();
-            Step dueStep = stop(now.minus(stoppedAt), noticePassed(now), connectionsOpen, othersAway || hasSuccessor);
+            Step dueStep =
+                    dueStopStep(now.minus(stoppedAt), noticePassed(now), connectionsOpen, othersAway || hasSuccessor);
             step = dueStep.compareTo(step) > 0 ? dueStep : step;
             if (wasClosed && !connectionsOpen) {
                 step = Step.END;
@@ -159,7 +161,7 @@
         return hasSuccessor || now.minus(unhealthySince).compareTo(UNHEALTHY_NOTICE) >= 0;
     }
 
-    private Step stop(Duration sinceStop, boolean noticeIsOver, boolean connectionsOpen, boolean lateCut) {
+    private Step dueStopStep(Duration sinceStop, boolean noticeIsOver, boolean connectionsOpen, boolean lateCut) {
         // with a short stop timeout, time for load balancers to notice takes precedence over cutting before the next
         // conductor's stop
         Duration earlyLead = stopTimeout.minus(UNHEALTHY_NOTICE).minus(ANSWER_LEAD);
--- a/src/main/java/copperbeam/membership/MemberBook.java
+++ b/src/main/java/copperbeam/membership/MergedMembers.java
@@ -20,7 +20,7 @@
  * not know of it yet, so its contradicting entry is held back until {@code maxLag} after the drain was reported. Guards
  * against a draining server that is used again because the list's address has moved to a source that lags.
  */
-public final class MemberBook {
+public final class MergedMembers {
     /** The accepted state of one server, with its source and time. A server that is GONE is kept for {@code maxLag}. */
     private record Known(Entry entry, int source, Instant since) {}
 
@@ -35,12 +35,12 @@
     private Instant emptyDoubtedUntil; // an empty full list is not accepted before this time; null: no doubt
 
     /** {@code maxLag}: by how much one source may lag behind another; 0 or more. */
-    public MemberBook(Duration maxLag) {
+    public MergedMembers(Duration maxLag) {
         this(maxLag, false);
     }
 
     /** {@code serversExpected}: servers are known to exist from an earlier run, though no source has listed any yet. */
-    MemberBook(Duration maxLag, boolean serversExpected) {
+    MergedMembers(Duration maxLag, boolean serversExpected) {
         this.maxLag = maxLag;
         this.serversExpected = serversExpected;
     }
--- a/src/main/java/copperbeam/membership/WatchPlan.java
+++ b/src/main/java/copperbeam/membership/WatchPlan.java
@@ -64,9 +64,9 @@
      */
     public static final Duration CONNECT_TIMEOUT = Duration.ofMillis(500);
     /**
-     * How long after its wait a call may stay unanswered before it counts as silent. After an outage, what a local agent
-     * has counts as known to us at once, and the last call may have been lost in that outage: this timeout, a retry delay
-     * of 0.1 s and the next answer fit into the 1 s within which a change must be acted on.
+     * How long after its wait a call may stay unanswered before it counts as silent. After an outage, each change that
+     * a local agent has received counts as known to us at once, and the last call may have been lost in that outage:
+     * this timeout, a retry delay of 0.1 s and the next answer fit into the 1 s within which a change must be acted on.
      */
     public static final Duration SILENCE_TIMEOUT = Duration.ofMillis(500);
     /**
@@ -93,7 +93,10 @@
     /** How long a call after a failure may wait: practically not at all. Not 0, which would not be a long poll. */
     static final Duration RETRY_POLL_WAIT = Duration.ofMillis(1);
 
-    /** How long an old address is kept after the new one has given its list; it closes its connections 1.5 s after a move. */
+    /**
+     * How long an old address is kept after the new one has given its list. The service closes the connections at an
+     * old address 1.5 s after a move.
+     */
     public static final Duration MOVE_OVERLAP = Duration.ofSeconds(2);
     /** By how much one address may lag behind another; after that the new one has every change that counts as known. */
     public static final Duration MAX_SOURCE_LAG = INFORMED_AFTER.plus(INFORMED_AFTER_MOVE);
@@ -103,7 +106,7 @@
 
     private static final class AddressState {
         final InetSocketAddress address;
-        int source; // a new number whenever its versions go back
+        int source; // number of this address as a source of the list; a new one whenever its versions go back
         boolean hasList;
         int failures; // consecutive; a call that timed out counts as one
         long version = -1;
@@ -128,7 +131,7 @@
 
     private record Timer(TimerKind kind, AddressState address, int callId) {}
 
-    private final MemberBook book;
+    private final MergedMembers mergedMembers;
     private final Backoff backoff;
     private final List<AddressState> oldAddresses = new ArrayList<>();
     private final TreeMap<Integer, Timer> timers = new TreeMap<>();
@@ -145,7 +148,7 @@
     /** {@code serversExpected}: the last known list had servers, so an empty first list is not accepted at once. */
     public WatchPlan(Backoff backoff, boolean serversExpected) {
         this.backoff = backoff.cappedAt(MAX_RETRY_DELAY);
-        book = new MemberBook(MAX_SOURCE_LAG, serversExpected);
+        mergedMembers = new MergedMembers(MAX_SOURCE_LAG, serversExpected);
     }
 
     /**
@@ -157,7 +160,7 @@
         current = new AddressState(address, ++lastSource);
         current.hasList = true;
         current.version = known.version();
-        book.applyFullList(current.source, known.entries(), now);
+        mergedMembers.applyFullList(current.source, known.entries(), now);
         startCall(current);
         return takeActions();
     }
@@ -192,14 +195,14 @@
             return takeActions();
         }
         if (!address.hasList && !listing.full()) {
-            return onFailure(callId, false); // retried at once, it might be answered like this forever
+            return onFailure(callId, false); // with a delay: without one, the same answer might come again and again
         }
         if (listing.full() && listing.version() < address.version && address == current) {
-            address.source = ++lastSource; // it has lost changes, and is treated like a source that lags
+            address.source = ++lastSource; // the service has lost changes there: treated like a source that lags
         }
-        if (listing.full() && book.isDoubtfulEmptyList(address.source, listing.entries(), now)) {
-            address.hasList =
-                    false; // asks for the full list until it is accepted: changes would omit servers already gone
+        if (listing.full() && mergedMembers.isDoubtfulEmptyList(address.source, listing.entries(), now)) {
+            // the next call asks for the full list again: changes would omit the servers that are gone already
+            address.hasList = false;
             return onFailure(callId, false);
         }
         boolean hasNews =
@@ -215,13 +218,13 @@
             address.hasList = true;
             address.version = listing.version();
             Change change = listing.full()
-                    ? book.applyFullList(address.source, listing.entries(), now)
-                    : book.applyDelta(address.source, listing.entries(), now);
+                    ? mergedMembers.applyFullList(address.source, listing.entries(), now)
+                    : mergedMembers.applyDelta(address.source, listing.entries(), now);
             publish(change, listing.full() && address == current);
             if (isFirstList && address == current) {
                 oldAddresses.forEach(o -> startTimer(MOVE_OVERLAP, TimerKind.LEAVE_OLD_ADDRESS, o, 0));
             }
-            Instant nextDueAt = book.nextDueAt();
+            Instant nextDueAt = mergedMembers.nextDueAt();
             if (nextDueAt != null) {
                 startTimer(Duration.between(now, nextDueAt), TimerKind.HELD_ENTRIES, null, 0);
             }
@@ -274,7 +277,7 @@
                     }
                 }
                 case LEAVE_OLD_ADDRESS -> abandon(timer.address());
-                case HELD_ENTRIES -> publish(book.takeDueEntries(now), false);
+                case HELD_ENTRIES -> publish(mergedMembers.takeDueEntries(now), false);
                 default -> throw new AssertionError(timer.kind());
             }
         }
@@ -305,9 +308,8 @@
         Duration maxWait = !address.hasList ? Duration.ZERO : address.failures == 0 ? MAX_POLL_WAIT : RETRY_POLL_WAIT;
         actions.add(new StartCall(callId, address.address, address.hasList ? address.version : -1, maxWait));
         startTimer(MIN_CALL_INTERVAL, TimerKind.MIN_INTERVAL, address, callId);
-        // this timer also applies if the call fails: a connection that can't be established takes its time, and the
-        // retry
-        // delay comes on top
+        // this timer stays in force if the call fails: a failed attempt to connect may take long, and the retry delay
+        // is added to it
         Duration silentAfter = maxWait.plus(SILENCE_TIMEOUT)
                 .plus(address.failures > 0 ? backoff.delayAfter(address.failures) : Duration.ZERO);
         startTimer(
--- a/src/main/java/copperbeam/membership/package-info.java
+++ b/src/main/java/copperbeam/membership/package-info.java
@@ -1,6 +1,6 @@
 /**
  * The merged list of servers, and the calls by which it is watched: decision logic without I/O or clock.
- * {@link copperbeam.membership.MemberBook} merges what several sources report of each server;
+ * {@link copperbeam.membership.MergedMembers} merges what several sources report of each server;
  * {@link copperbeam.membership.WatchPlan} decides which calls are open at the current address of the list and, during a
  * move, at earlier ones.
  *
--- a/src/main/java/copperbeam/operation/OperatorCommands.java
+++ b/src/main/java/copperbeam/operation/OperatorCommands.java
@@ -39,8 +39,8 @@
         switch (words[0] + (server == null ? "" : " ID") + (words.length > 2 ? " more" : "")) {
             case "PING" -> reply.accept(isServing.getAsBoolean() ? ACK : nak("not ready"));
             case "INFO" -> reply.accept(ACK + formatMetrics(metrics) + "--\n");
-            case "DETACH ID" -> ban(line, server, true, reply);
-            case "ATTACH ID" -> ban(line, server, false, reply);
+            case "DETACH ID" -> setBanned(line, server, true, reply);
+            case "ATTACH ID" -> setBanned(line, server, false, reply);
             case "LAMEDUCK" ->
                 changeExecutor.execute(() -> shared.setDrained(true, done -> replyDone(line, done, reply)));
             case "REJOIN" ->
@@ -49,8 +49,8 @@
         }
     }
 
-    /** Also takes banned servers that have left the list meanwhile. */
-    private void ban(String command, String server, boolean banned, Consumer<String> reply) {
+    /** Bans the server or lifts its ban. Also accepts banned servers that have left the list meanwhile. */
+    private void setBanned(String command, String server, boolean banned, Consumer<String> reply) {
         bans.tell(new BanActor.QueryListed(
                 server,
                 listed -> changeExecutor.execute(() -> {
--- a/src/main/java/copperbeam/plugins/WasmHook.java
+++ b/src/main/java/copperbeam/plugins/WasmHook.java
@@ -96,7 +96,7 @@
     }
 
     @Override
-    public Verdict onRequest(RequestSpec ask) {
+    public Verdict onRequest(RequestSpec spec) {
         try {
             if (instance == null) {
                 instantiate();
@@ -104,12 +104,12 @@
             deadlineNanos = System.nanoTime() + timeLimit.toNanos();
             int verdict = (int) instance.export("on_request")
                     .apply(
-                            classes.indexOf(ask.requestClass()),
-                            (long) ask.promptTokens(),
-                            (long) ask.prefixTokens(),
-                            (long) ask.maxAnswerTokens(),
-                            fnv1a(ask.session()),
-                            fnv1a(ask.prefix()))[0];
+                            classes.indexOf(spec.requestClass()),
+                            (long) spec.promptTokens(),
+                            (long) spec.prefixTokens(),
+                            (long) spec.maxAnswerTokens(),
+                            fnv1a(spec.session()),
+                            fnv1a(spec.prefix()))[0];
             if (verdict < 0) {
                 return new Verdict(Duration.ofMillis(Math.min(-(long) verdict, MAX_REFUSAL_MS)), null);
             }
--- a/src/main/java/copperbeam/program/Config.java
+++ b/src/main/java/copperbeam/program/Config.java
@@ -55,7 +55,7 @@
         Duration connectTimeout,
         Duration connectionIdleTimeout,
         Limits limits,
-        Operator operator) {
+        OperatorSettings operator) {
 
     private static final int MAX_MEMORY_MB = 1 << 20; // higher values have no further effect
     private static final int MAX_CLASS_NAME_BYTES = 8 * 1024; // half of the longest request head that is accepted
@@ -73,7 +73,7 @@
      * @param etcd null if the server list comes from the platform's discovery
      * @param stopTimeout time from SIGTERM to the platform's SIGKILL
      */
-    public record Operator(
+    public record OperatorSettings(
             InetSocketAddress chatListen,
             ChatModels chatModels,
             Etcd etcd,
@@ -82,7 +82,8 @@
         private static final Duration MAX_CLIENT_WAIT = Duration.ofSeconds(3); // longest that a stop waits for clients
         private static final Duration KILL_MARGIN = Duration.ofMillis(700); // from the end of that wait to SIGKILL
 
-        public Operator(InetSocketAddress chatListen, ChatModels chatModels, Etcd etcd, List<RequestHook> hooks) {
+        public OperatorSettings(
+                InetSocketAddress chatListen, ChatModels chatModels, Etcd etcd, List<RequestHook> hooks) {
             this(chatListen, chatModels, etcd, hooks, MAX_CLIENT_WAIT.plus(KILL_MARGIN));
         }
     }
@@ -103,7 +104,7 @@
             return sockets - 2 * maxClients() - RESERVED_DESCRIPTORS;
         }
 
-        /** The limits with half of the descriptors, for while another process of this conductor has the other half. */
+        /** The limits with half of the descriptors; for the time that another process of this conductor runs. */
         Limits withHalfTheSockets() {
             return new Limits(memoryMb, sockets / 2);
         }
@@ -155,8 +156,8 @@
         Section limitsSection = settingsSection.section("limits");
         Settings settings = readSettings(settingsSection);
         Duration defaultStopTimeout = defaultStopTimeout(settingsSection);
-        Operator operator = operatorFile == null
-                ? new Operator(null, null, null, List.of(), defaultStopTimeout)
+        OperatorSettings operator = operatorFile == null
+                ? new OperatorSettings(null, null, null, List.of(), defaultStopTimeout)
                 : readOperator(
                         Section.file("--operator", operatorFile), Path.of(operatorFile), settings, defaultStopTimeout);
         String name = file.text("name", "conductor");
@@ -329,11 +330,11 @@
         }
     }
 
-    private static Operator readOperator(
+    private static OperatorSettings readOperator(
             Section file, Path operatorFile, Settings settings, Duration defaultStopTimeout) throws Invalid {
         file.rejectUnknownKeys(Set.of("openai", "etcd", "plugins", "stop"));
         Section chatSection = file.has("openai") ? file.section("openai") : null;
-        return new Operator(
+        return new OperatorSettings(
                 chatSection == null ? null : chatSection.address("listen"),
                 chatSection == null ? null : readChatModels(chatSection, classNames(settings)),
                 file.has("etcd") ? readEtcd(file.section("etcd")) : null,
@@ -343,17 +344,17 @@
 
     /**
      * Shortest time from SIGTERM to the platform's SIGKILL: the longest deadline of a class, at most
-     * {@link Operator#MAX_CLIENT_WAIT}, plus a margin. A class without a configured deadline counts as the maximum.
+     * {@link OperatorSettings#MAX_CLIENT_WAIT}, plus a margin. A class without a configured deadline counts as the maximum.
      */
     private static Duration defaultStopTimeout(Section settings) throws Invalid {
         Duration longest = Duration.ZERO;
         for (Section service : settings.sections("services")) {
             boolean hasDeadline =
                     service.has("give_up_s") && !(service.get("give_up_s") instanceof Number n && n.doubleValue() == 0);
-            Duration wait = hasDeadline ? service.duration("give_up_s", 0) : Operator.MAX_CLIENT_WAIT;
+            Duration wait = hasDeadline ? service.duration("give_up_s", 0) : OperatorSettings.MAX_CLIENT_WAIT;
             longest = wait.compareTo(longest) > 0 ? wait : longest;
         }
-        return min(longest, Operator.MAX_CLIENT_WAIT).plus(Operator.KILL_MARGIN);
+        return min(longest, OperatorSettings.MAX_CLIENT_WAIT).plus(OperatorSettings.KILL_MARGIN);
     }
 
     private static Duration readStopTimeout(Section stop, Duration defaultStopTimeout) throws Invalid {
--- a/src/main/java/copperbeam/program/Handover.java
+++ b/src/main/java/copperbeam/program/Handover.java
@@ -201,8 +201,7 @@
         update(s -> s.withBan(server, banned, clock.instant()));
         appliedState = new SharedState(state.bans(), appliedState.drain(), appliedState.processes());
         bans.tell(new BanActor.SetBans(state.bannedServers(), onApplied));
-        applyState(); // this update may also have read commands given to another process, which later polls see no
-        // change in
+        applyState(); // at once: the update may also have read commands that were given to another process
     }
 
     @Override
@@ -211,7 +210,7 @@
             reply.accept(false);
             return;
         }
-        update(s -> s.drain(drained, clock.instant()));
+        update(s -> s.withDrain(drained, clock.instant()));
         appliedState = new SharedState(appliedState.bans(), state.drain(), appliedState.processes());
         listener.drainChanged(drained, reply);
         applyState(); // as in setBanned()
--- a/src/main/java/copperbeam/program/LastHeld.java
+++ b/src/main/java/copperbeam/program/HeartbeatEntry.java
@@ -13,7 +13,7 @@
  * the same for all processes and is not affected by steps of the wall clock. As that clock restarts when the machine
  * boots, each entry also holds a hash of the boot id.
  */
-final class LastHeld {
+final class HeartbeatEntry {
     private static final Path BOOT_ID = Path.of("/proc/sys/kernel/random/boot_id");
     private static final int UNKNOWN_BOOT = 0;
 
@@ -25,7 +25,7 @@
      * @param channel open for reading and writing
      * @param position offset of the entry in the file, in bytes
      */
-    LastHeld(FileChannel channel, long position) {
+    HeartbeatEntry(FileChannel channel, long position) {
         this.channel = channel;
         this.position = position;
         bootHash = readBootHash();
--- a/src/main/java/copperbeam/program/LifecycleActor.java
+++ b/src/main/java/copperbeam/program/LifecycleActor.java
@@ -69,7 +69,7 @@
         this.onProcessesChanged = onProcessesChanged;
     }
 
-    /** Whether health checks should pass: neither drained by operators nor stopping. Thread-safe. */
+    /** Whether health checks should pass: not drained by operators, nor stopping without a successor. Thread-safe. */
     boolean isHealthy() {
         return healthy;
     }
@@ -158,19 +158,19 @@
             acceptingRequests = false;
             module.tell(new ModuleActor.StopAccepting());
         }
-        for (Step s : Step.values()) {
-            if (s.compareTo(step) > 0 && s.compareTo(nextStep) <= 0) {
-                if (s == Step.ANSWER) {
-                    fronts.forEach(HttpFrontServer::abandonAddress);
+        for (Step passedStep : Step.values()) {
+            if (passedStep.compareTo(step) > 0 && passedStep.compareTo(nextStep) <= 0) {
+                if (passedStep == Step.ANSWER) {
+                    fronts.forEach(HttpFrontServer::stopListeningNow);
                     module.tell(new ModuleActor.ExpireOpenRequests());
-                } else if (s == Step.CUT) {
+                } else if (passedStep == Step.CUT) {
                     module.tell(new ModuleActor.TransferStreams());
                 }
             }
         }
         boolean mustExit = step == Step.END && lifecycle.mustExit(Duration.between(startedAt, clock.instant()));
         if (mustExit) {
-            LOG.info("lifecycle: ends by itself before the kill; servers have not let go of all yet");
+            LOG.info("lifecycle: exits before the kill; servers have not confirmed all releases yet");
         }
         if (overdue || mustExit) {
             ended.complete(null);
--- a/src/main/java/copperbeam/program/Node.java
+++ b/src/main/java/copperbeam/program/Node.java
@@ -98,6 +98,7 @@
         fileRecorder =
                 recordFile == null ? null : new FileRecorder(scheduler, clock, config.name(), recordFile, recordBytes);
         Recorder recorder = recordFile == null ? Recorder.NONE : fileRecorder;
+        // at least 0.2 s, however short the lease of a read state is
         Duration releaseWithin =
                 ModuleTime.duration(Math.max(0.2, config.settings().rules().stateLeaseS()));
         metrics = new Metrics(config.classNames());
@@ -237,9 +238,9 @@
     }
 
     /**
-     * Listens at the clients' addresses. With an operators' API this is done only once the process is ready: next to an old
-     * process that still serves, it would fail health checks, and on half a core a start under load took 3.2 s, but 1.4 s
-     * without client connections.
+     * Listens at the clients' addresses. With an operators' API this is done only once the process is ready: an old
+     * process may still be serving there, and health checks that reach this one instead would fail. Also, on half a
+     * core a start took 3.2 s under load, but 1.4 s without client connections.
      */
     private void listen() throws IOException {
         boolean shared = handover != null;
--- a/src/main/java/copperbeam/program/Rehearsal.java
+++ b/src/main/java/copperbeam/program/Rehearsal.java
@@ -70,7 +70,8 @@
                 freePort = probeSocket.getLocalPort();
             }
             Files.writeString(file, String.format(CONFIG, freePort, discovery.getLocalPort(), list));
-            Map<String, String> environment = new HashMap<>(System.getenv()); // read as at a real start
+            // copied, so that all other variables are read as at a real start
+            Map<String, String> environment = new HashMap<>(System.getenv());
             environment.keySet().removeIf(name -> name.startsWith("GW_"));
             environment.put("GW_CONFIG", file.toString());
             runConductor(environment);
--- a/src/main/java/copperbeam/program/SharedFolder.java
+++ b/src/main/java/copperbeam/program/SharedFolder.java
@@ -42,7 +42,7 @@
     private final Path file;
     private final Path tempFile;
     private final FileChannel channel;
-    private final LastHeld lastHeld;
+    private final HeartbeatEntry heartbeatEntry;
     private final FileLock ownLock; // the operating system releases it however the process ends
     private SharedState state = SharedState.EMPTY;
     private Instant lastHeartbeat = Instant.MIN;
@@ -64,7 +64,7 @@
         Path lockFile = folder.resolve(name + ".lock");
         channel = FileChannel.open(
                 lockFile, StandardOpenOption.CREATE, StandardOpenOption.READ, StandardOpenOption.WRITE);
-        lastHeld = new LastHeld(channel, HEARTBEAT_POSITION);
+        heartbeatEntry = new HeartbeatEntry(channel, HEARTBEAT_POSITION);
         try {
             ownLock = register(Files.getLastModifiedTime(lockFile).toInstant());
         } catch (IOException | RuntimeException e) {
@@ -79,7 +79,7 @@
             throw new IOException("more than " + LOCK_SLOTS + " processes of this conductor are running");
         }
         int slot = (int) lock.position();
-        Duration unusedFor = lastHeld.age().orElse(Duration.between(lockFileModified, clock.instant()));
+        Duration unusedFor = heartbeatEntry.age().orElse(Duration.between(lockFileModified, clock.instant()));
         if (heldSlots(slot).size() == 1 && Files.exists(file) && unusedFor.compareTo(STATE_LIFETIME) > 0) {
             LOG.warning(file + " is not taken: no process has used it for " + unusedFor.toSeconds() + " s");
             Files.delete(file);
@@ -95,7 +95,7 @@
     private Instant startTimeAfter(SharedState known) {
         Instant now = clock.instant();
         return known.processes().values().stream()
-                .map(life -> life.startedAt().plusMillis(1))
+                .map(process -> process.startedAt().plusMillis(1))
                 .filter(now::isBefore)
                 .max(Instant::compareTo)
                 .orElse(now);
@@ -195,7 +195,7 @@
             }
             if (lastHeartbeat.plus(HEARTBEAT_INTERVAL).isBefore(clock.instant())) {
                 lastHeartbeat = clock.instant();
-                lastHeld.write();
+                heartbeatEntry.write();
             }
         } catch (IOException e) {
             state = change.apply(state);
--- a/src/main/java/copperbeam/program/WarmUp.java
+++ b/src/main/java/copperbeam/program/WarmUp.java
@@ -87,27 +87,27 @@
             Brain brain, double now, long request, int attempt, List<Api.Action> actions) {
         List<Api.Action> nextActions = new ArrayList<>();
         for (Api.Action action : actions) {
-            if (action instanceof Api.Probe p) {
+            if (action instanceof Api.Probe probe) {
                 nextActions.addAll(brain.onEvent(
                         now + 0.002,
                         new Api.ProbeEnded(
-                                p.server(),
+                                probe.server(),
                                 Api.Outcome.OK,
                                 0.002,
                                 new Api.Report(Double.NaN, Double.NaN, 3, 0.2, Double.NaN))));
-            } else if (action instanceof Api.Timer t && t.delayS() < 0.1) {
-                nextActions.addAll(brain.onEvent(now + t.delayS(), new Api.TimerFired(t.tag())));
-            } else if (action instanceof Api.Attempt a) {
+            } else if (action instanceof Api.Timer timer && timer.delayS() < 0.1) {
+                nextActions.addAll(brain.onEvent(now + timer.delayS(), new Api.TimerFired(timer.tag())));
+            } else if (action instanceof Api.Attempt attemptAction) {
                 boolean isRead = attempt % 2 == 0;
                 if (!isRead) {
-                    brain.onEvent(now + 0.03, new Api.StreamStarted(request, attempt, a.server(), 0.03));
+                    brain.onEvent(now + 0.03, new Api.StreamStarted(request, attempt, attemptAction.server(), 0.03));
                 }
                 nextActions.addAll(brain.onEvent(
                         now + 0.04,
                         new Api.AttemptEnded(
                                 request,
                                 attempt,
-                                a.server(),
+                                attemptAction.server(),
                                 isRead ? Api.Outcome.READ : Api.Outcome.OK,
                                 0.04,
                                 !isRead,
--- a/src/main/java/copperbeam/protocol/HttpCall.java
+++ b/src/main/java/copperbeam/protocol/HttpCall.java
@@ -9,7 +9,7 @@
  * A complete HTTP request of a client.
  *
  * @param headers the keys are in lower case
- * @param arrivedAt when its first byte was read
+ * @param arrivedAt when its head was read
  * @param maxQueueTime how long it may have waited before that because its connection wasn't accepted yet
  */
 public record HttpCall(
--- a/src/main/java/copperbeam/protocol/HttpClient.java
+++ b/src/main/java/copperbeam/protocol/HttpClient.java
@@ -13,10 +13,15 @@
 
     /** Makes a call. The returned callback cancels it. */
     Runnable send(
-            InetSocketAddress address, String method, String target, byte[] body, Timeouts timeouts, Response response);
+            InetSocketAddress address,
+            String method,
+            String target,
+            byte[] body,
+            Timeouts timeouts,
+            ResponseListener response);
 
     /** Receives the response; the last notification is {@code end} or {@code failed}. */
-    interface Response {
+    interface ResponseListener {
         void head(int status);
 
         /** Receives a part of the body. If it throws, the call fails. */
@@ -42,7 +47,7 @@
             Timeouts timeouts,
             int maxBodyBytes,
             Consumer<FullResponse> onResponse) {
-        return send(address, method, target, body, timeouts, new Response() {
+        return send(address, method, target, body, timeouts, new ResponseListener() {
             private final ByteArrayOutputStream received = new ByteArrayOutputStream();
             private int status;
 
--- a/src/main/java/copperbeam/protocol/discovery/DiscoveryWatch.java
+++ b/src/main/java/copperbeam/protocol/discovery/DiscoveryWatch.java
@@ -27,9 +27,9 @@
     private static final int MAX_LOGGED_PROBLEMS = 16; // distinct log lines between two good responses
     private static final int MAX_PROBLEM_CHARS = 200; // as the text may come from a response
 
-    private sealed interface Message permits Move, CallAnswered, CallTimedOut, TimerFired, Stop {}
+    private sealed interface Message permits SetAddress, CallAnswered, CallTimedOut, TimerFired, Stop {}
 
-    private record Move(InetSocketAddress agent, Sink sink) implements Message {}
+    private record SetAddress(InetSocketAddress serviceAddress, Sink sink) implements Message {}
 
     private record CallAnswered(int callId, HttpClient.FullResponse response) implements Message {}
 
@@ -58,13 +58,13 @@
             if (stopped) {
                 return;
             }
-            if (message instanceof Move e) {
+            if (message instanceof SetAddress e) {
                 sink = e.sink() == null ? sink : e.sink();
-                LOG.fine(() -> "discovery: to " + e.agent());
+                LOG.fine(() -> "discovery: to " + e.serviceAddress());
                 carryOut(
                         e.sink() == null || knownList == null
-                                ? plan.moveTo(e.agent())
-                                : plan.startFrom(e.agent(), knownList, clock.instant()));
+                                ? plan.moveTo(e.serviceAddress())
+                                : plan.startFrom(e.serviceAddress(), knownList, clock.instant()));
             } else if (message instanceof CallAnswered e) {
                 OpenCall call = openCalls.remove(e.callId());
                 if (call != null) {
@@ -194,7 +194,7 @@
 
     private final HttpClient client;
     private final Clock clock;
-    private final InetSocketAddress agent;
+    private final InetSocketAddress serviceAddress;
     private final WatchPlan.Listing knownList;
     private final Watcher watcher;
 
@@ -206,25 +206,25 @@
             ScheduledExecutorService scheduler,
             HttpClient client,
             Clock clock,
-            InetSocketAddress agent,
+            InetSocketAddress serviceAddress,
             WatchPlan.Listing knownList,
             boolean serversExpected,
             Backoff backoff) {
         this.knownList = knownList;
         this.client = client;
         this.clock = clock;
-        this.agent = agent;
+        this.serviceAddress = serviceAddress;
         watcher = new Watcher(scheduler, serversExpected, backoff);
     }
 
     @Override
     public void start(Sink sink) {
-        watcher.tell(new Move(agent, sink));
+        watcher.tell(new SetAddress(serviceAddress, sink));
     }
 
     /** Switches to another address of the discovery service, after a change of the configuration. */
     public void moveTo(InetSocketAddress address) {
-        watcher.tell(new Move(address, null));
+        watcher.tell(new SetAddress(address, null));
     }
 
     @Override
--- a/src/main/java/copperbeam/protocol/etcd/EtcdMembership.java
+++ b/src/main/java/copperbeam/protocol/etcd/EtcdMembership.java
@@ -19,8 +19,7 @@
     private static final Logger LOG = Logger.getLogger(EtcdMembership.class.getName());
     private static final HttpClient.Timeouts TIMEOUTS =
             new HttpClient.Timeouts(WatchPlan.CONNECT_TIMEOUT, WatchPlan.MAX_POLL_WAIT);
-    private static final int MAX_BODY_BYTES =
-            1 << 20; // of a range response, in base64; etcd itself rejects larger requests
+    private static final int MAX_BODY_BYTES = 1 << 20; // of a range response, in which keys and values are in base64
     private static final Duration RETRY_DELAY = Duration.ofMillis(200);
 
     private sealed interface Message permits Start, RangeAnswered, WatchData, CallEnded, Retry, Stop {}
@@ -111,7 +110,7 @@
                     "/v3/watch",
                     EtcdWire.watchRequest(prefix, revision + 1),
                     TIMEOUTS,
-                    new HttpClient.Response() {
+                    new HttpClient.ResponseListener() {
                         @Override
                         public void head(int status) {
                             if (status != 200) {
--- a/src/main/java/copperbeam/protocol/openai/ChatAnswer.java
+++ b/src/main/java/copperbeam/protocol/openai/ChatAnswer.java
@@ -29,11 +29,11 @@
     private boolean roleSent;
     private boolean doneReceived;
 
-    ChatAnswer(HttpReply reply, ChatRequest request, String id, Instant arrived) {
+    ChatAnswer(HttpReply reply, ChatRequest request, String id, Instant arrivedAt) {
         this.reply = reply;
         this.request = request;
         this.id = "chatcmpl-" + id;
-        created = arrived.getEpochSecond();
+        created = arrivedAt.getEpochSecond();
     }
 
     @Override
@@ -43,7 +43,7 @@
 
     @Override
     public void begin() {
-        if (request.stream()) {
+        if (request.wantsStream()) {
             reply.beginStream("text/event-stream", Map.of("Cache-Control", "no-cache"));
         }
     }
@@ -56,7 +56,7 @@
             onDrained.run();
             return true;
         }
-        if (data.equals("[DONE]") && request.stream() && !doneReceived) {
+        if (data.equals("[DONE]") && request.wantsStream() && !doneReceived) {
             doneReceived = true;
             writeEvent(data, onDrained); // not only in end(): the server may end its stream much later
             return true;
@@ -71,7 +71,7 @@
             onDrained.run();
             return false;
         }
-        return request.stream() ? forward(chunk, onDrained) : collect(chunk, onDrained);
+        return request.wantsStream() ? forward(chunk, onDrained) : collect(chunk, onDrained);
     }
 
     private static JsonObject parseChunk(String data) {
@@ -87,7 +87,7 @@
     }
 
     private boolean forward(JsonObject chunk, Runnable onDrained) {
-        if (chunk.getAsJsonArray("choices").isEmpty() && !request.includeUsage()) {
+        if (chunk.getAsJsonArray("choices").isEmpty() && !request.wantsUsage()) {
             onDrained.run();
             return true;
         }
@@ -141,7 +141,7 @@
         if (!doneReceived) {
             // the server ended its HTTP stream properly, but without "[DONE]"
             broken();
-        } else if (request.stream()) {
+        } else if (request.wantsStream()) {
             reply.endStream();
         } else {
             JsonObject message = new JsonObject();
@@ -170,7 +170,7 @@
     @Override
     public void broken() {
         ApiError error = ApiError.serverError(502, "stream_broken", "The answer broke off before it was whole.");
-        if (request.stream()) {
+        if (request.wantsStream()) {
             if (!doneReceived) {
                 writeEvent(error.json(), null); // clients read nothing after "[DONE]"
             }
--- a/src/main/java/copperbeam/protocol/openai/ChatRequest.java
+++ b/src/main/java/copperbeam/protocol/openai/ChatRequest.java
@@ -23,8 +23,8 @@
  */
 record ChatRequest(
         String model,
-        boolean stream,
-        boolean includeUsage,
+        boolean wantsStream,
+        boolean wantsUsage,
         int maxTokens,
         String session,
         String prefix,
@@ -84,7 +84,7 @@
 
     /** Returns the body that servers receive: the client's body, but always with streaming enabled. */
     byte[] bodyForServers(byte[] originalBody) {
-        if (stream) {
+        if (wantsStream) {
             return originalBody;
         }
         JsonObject copy = json.deepCopy();
--- a/src/main/java/copperbeam/protocol/platform/PlatformFront.java
+++ b/src/main/java/copperbeam/protocol/platform/PlatformFront.java
@@ -75,7 +75,7 @@
         if (session != null && !session.chars().allMatch(c -> c > 32 && c < 127)) {
             throw new BadRequest(400, "X-Route-Key is no name");
         }
-        Duration timeout = PlatformHeaders.timeout(call.header("x-timeout"));
+        Duration timeout = PlatformHeaders.parseTimeout(call.header("x-timeout"));
         PlatformHeaders.Attrs attrs = PlatformHeaders.parseAttrs(call.header("x-attrs"));
         if (!Json.isObject(call.body())) {
             throw new BadRequest(400, "the body is not a JSON object");
--- a/src/main/java/copperbeam/protocol/platform/PlatformHeaders.java
+++ b/src/main/java/copperbeam/protocol/platform/PlatformHeaders.java
@@ -17,7 +17,7 @@
     public record Attrs(String prefix, double promptTokens, double prefixTokens, double maxAnswerTokens) {}
 
     /** Parses X-Timeout: a whole number followed by {@code m} for milliseconds or {@code u} for microseconds. */
-    public static Duration timeout(String value) throws BadRequest {
+    public static Duration parseTimeout(String value) throws BadRequest {
         String text = value == null ? "" : value.strip();
         long microsPerUnit = text.endsWith("m") ? 1000 : text.endsWith("u") ? 1 : 0;
         try {
@@ -33,7 +33,7 @@
         throw new BadRequest(400, "X-Timeout is not a span");
     }
 
-    public static String timeout(Duration duration) {
+    public static String formatTimeout(Duration duration) {
         return Math.max(1, duration.toMillis()) + "m";
     }
 
--- a/src/main/java/copperbeam/record/FileRecorder.java
+++ b/src/main/java/copperbeam/record/FileRecorder.java
@@ -16,7 +16,10 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.logging.Logger;
 
-/** Keeps the latest events in a {@link Ring}; writes them to a file on request or at a broken rule, on its own thread. */
+/**
+ * Keeps the latest events in a {@link Ring}; writes them to a file, on its own thread, on request or when a rule of
+ * {@code RequestRules} has been broken.
+ */
 public final class FileRecorder implements Recorder {
     private static final Logger LOG = Logger.getLogger(FileRecorder.class.getName());
     private static final Duration RULE_WRITE_INTERVAL =
--- a/src/main/java/copperbeam/routing/Actor.java
+++ b/src/main/java/copperbeam/routing/Actor.java
@@ -91,8 +91,7 @@
                 receive(message);
             } catch (RuntimeException | Error e) {
                 // one message that fails must not stop the actor and all requests that it serves; Errors are caught
-                // too,
-                // since the JVM throws them when it runs out of file descriptors
+                // too, since the JVM throws them when it runs out of file descriptors
                 LOG.log(
                         Level.SEVERE,
                         getClass().getSimpleName() + " failed on "
--- a/src/main/java/copperbeam/routing/AnsweredConnections.java
+++ b/src/main/java/copperbeam/routing/AnsweredConnections.java
@@ -12,7 +12,7 @@
  */
 final class AnsweredConnections {
     private static final class ConnectionHistory {
-        final long openingOrder; // of opening, ascending
+        final long openingOrder; // 1 for the first connection opened to the server, 2 for the next
         Instant newestAnsweredDispatch; // when the newest of its answered calls was dispatched; null: none yet
 
         ConnectionHistory(long openingOrder) {
--- a/src/main/java/copperbeam/routing/Connector.java
+++ b/src/main/java/copperbeam/routing/Connector.java
@@ -64,7 +64,7 @@
     /**
      * One attempt of a client's request. The suppliers are called on the transport's thread.
      *
-     * @param reads the server acts as a reader, and only a reader's answer is valid
+     * @param atReader the server acts as a reader, and only a reader's answer is valid
      * @param timeLeft the remaining timeout that the server is told; evaluated when the head is sent
      * @param holdLastByte hold back the last byte until {@link Connection#sendLastByte}; if the connection ends before
      *     that, nothing has run
@@ -73,7 +73,7 @@
      */
     record AttemptCall(
             RequestSpec spec,
-            boolean reads,
+            boolean atReader,
             Supplier<Duration> timeLeft,
             boolean holdLastByte,
             BooleanSupplier maySendHead,
@@ -121,9 +121,9 @@
          * The answer is complete.
          *
          * @param reusable whether the connection can carry another call
-         * @param keptTokens how many tokens of the prompt a read found in the server's cache, NaN if unknown
+         * @param cachedTokens how many tokens of the prompt a read found in the server's cache, NaN if unknown
          */
-        void end(boolean reusable, double keptTokens);
+        void end(boolean reusable, double cachedTokens);
 
         /**
          * The connection ended before the answer was complete. {@code lastByteMayHaveLeft}: the server may have the whole
--- a/src/main/java/copperbeam/routing/HookActor.java
+++ b/src/main/java/copperbeam/routing/HookActor.java
@@ -105,7 +105,7 @@
             } catch (Exception | Error failure) { // an Error too, or the request would be lost
                 LOG.warning("plug-in " + hook.name() + " failed and is skipped: " + failure);
             }
-            if (verdict.retryAfter() != null && spec.resumed() && effectOf(spec.requestClass()) != Repeats.SAFE) {
+            if (verdict.retryAfter() != null && spec.resumed() && repeatsOf(spec.requestClass()) != Repeats.SAFE) {
                 LOG.warning("plug-in " + hook.name() + " may not refuse a request that has run: " + spec.id());
             } else if (verdict.retryAfter() != null) {
                 if (arrival.claim()) {
@@ -127,8 +127,8 @@
      * than the current one: a request that must run only once must not become repeatable.
      */
     private RequestSpec withClass(RequestHook hook, RequestSpec spec, String requestClass) {
-        Repeats effect = effectOf(requestClass);
-        if (effect == null || effectOf(spec.requestClass()) != Repeats.SAFE && effect != Repeats.UNSAFE) {
+        Repeats newRepeats = repeatsOf(requestClass);
+        if (newRepeats == null || repeatsOf(spec.requestClass()) != Repeats.SAFE && newRepeats != Repeats.UNSAFE) {
             LOG.warning(
                     "plug-in " + hook.name() + " may not change class " + spec.requestClass() + " to " + requestClass);
             return spec;
@@ -147,7 +147,7 @@
                 spec.payload());
     }
 
-    private Repeats effectOf(String requestClass) {
+    private Repeats repeatsOf(String requestClass) {
         return settings.classes().stream()
                 .filter(c -> c.name().equals(requestClass))
                 .map(RequestClass::repeats)
--- a/src/main/java/copperbeam/routing/IdleConnections.java
+++ b/src/main/java/copperbeam/routing/IdleConnections.java
@@ -14,8 +14,7 @@
     record IdleConnection(Connection connection, Instant idleSince) {}
 
     // a faulty server may send a second answer some milliseconds after the first; on a connection that was reused by
-    // then,
-    // it would be taken for the answer to the next call
+    // then, it would be taken for the answer to the next call
     private static final Duration MIN_IDLE_BEFORE_REUSE = Duration.ofMillis(30);
     private static final Duration MIN_LIFETIME =
             Duration.ofMillis(100); // a server that closes sooner closes after each answer
--- a/src/main/java/copperbeam/routing/ModuleActor.java
+++ b/src/main/java/copperbeam/routing/ModuleActor.java
@@ -83,7 +83,7 @@
             Duration elapsed,
             boolean stateMissing,
             Report report,
-            double keptTokens,
+            double cachedTokens,
             boolean connected,
             Instant endedAt)
             implements Message {}
@@ -179,9 +179,9 @@
         if (message instanceof ServersListed received) {
             onServersListed(received);
         } else if (message instanceof RequestArrived received) {
-            submit(received);
+            onRequestArrived(received);
         } else if (message instanceof ClientGone received) {
-            clientGone(received);
+            onClientGone(received);
         } else if (message instanceof FirstEvent received) {
             onFirstEvent(received);
         } else if (message instanceof AttemptFinished received) {
@@ -214,7 +214,7 @@
         } else if (message instanceof ColdWorkShare received) {
             notifyModule(new Api.TrafficShare(received.share()));
         } else if (message instanceof CountServers) {
-            metrics.cluster(new Metrics.Cluster(peers.size(), module.avoidedServers()));
+            metrics.cluster(new Metrics.Cluster(peers.size(), module.avoidedServerCount()));
             tellLater(SERVER_COUNT_INTERVAL, message);
         } else if (message instanceof SweepOverdue) {
             sweep();
@@ -357,7 +357,7 @@
         return new RequestRules(requestClass, settings.limits().maxAttempts(), spec.deadline(), spec.resumed());
     }
 
-    private void submit(RequestArrived message) {
+    private void onRequestArrived(RequestArrived message) {
         metrics.requestAccepted();
         if (message.response().gone()) {
             metrics.requestEnded(message.spec().requestClass(), Metrics.End.LEFT);
@@ -411,7 +411,7 @@
         }
     }
 
-    private void clientGone(ClientGone message) {
+    private void onClientGone(ClientGone message) {
         OpenRequest request = requestByResponse.get(message.response());
         if (request == null || request.phase == Phase.OVER) {
             return;
@@ -430,8 +430,8 @@
     private void onFirstEvent(FirstEvent message) {
         OpenRequest request = requests.get(message.request());
         PeerActor peer = message.peer();
-        boolean current = request != null && request.attemptInFlight && request.attempts - 1 == message.attempt();
-        if (!current || request.phase != Phase.OPEN) {
+        boolean isCurrent = request != null && request.attemptInFlight && request.attempts - 1 == message.attempt();
+        if (!isCurrent || request.phase != Phase.OPEN) {
             // the attempt or the request ended while this message was queued: nobody wants the stream
             peer.tell(new PeerActor.CancelAttempt(message.request(), message.attempt()));
             return;
@@ -503,7 +503,7 @@
                 requestOver,
                 message.stateMissing(),
                 message.report(),
-                message.keptTokens()));
+                message.cachedTokens()));
         if (request.releaseWanted && !request.attemptInFlight) {
             release(request, ReleaseCause.ASKED);
         }
@@ -711,18 +711,23 @@
     }
 
     private void giveFinalAnswer(
-            long key, Recorder.EventType event, Api.Reason why, java.util.function.Consumer<OpenRequest> sendAnswer) {
+            long key,
+            Recorder.EventType event,
+            Api.Reason reason,
+            java.util.function.Consumer<OpenRequest> sendAnswer) {
         OpenRequest request = requests.get(key);
         if (request != null && request.phase == Phase.OPEN) {
-            note(event, request, null, why.name(), null);
+            note(event, request, null, reason.name(), null);
             metrics.causes()
-                    .add(event == Recorder.EventType.REFUSED ? CauseCounts.Kind.REFUSED : CauseCounts.Kind.FAILED, why);
+                    .add(
+                            event == Recorder.EventType.REFUSED ? CauseCounts.Kind.REFUSED : CauseCounts.Kind.FAILED,
+                            reason);
             if (request.attempts > 0) {
                 requestLog.note(
                         request.spec.id(),
-                        event.name().toLowerCase(Locale.ROOT) + ": " + why + ", " + describeAttempt(request));
+                        event.name().toLowerCase(Locale.ROOT) + ": " + reason + ", " + describeAttempt(request));
             }
-            metrics.stages().addEnd(request.spec.requestClass(), request.stage(), why);
+            metrics.stages().addEnd(request.spec.requestClass(), request.stage(), reason);
             enterStage(request, request.stage());
             request.rules.checkFinalAnswer(clock.instant()).ifPresent(rule -> reportBrokenRule(request, rule));
             markOver(request, event == Recorder.EventType.REFUSED ? Metrics.End.DEFERRED : Metrics.End.ERRORED);
--- a/src/main/java/copperbeam/routing/PeerActor.java
+++ b/src/main/java/copperbeam/routing/PeerActor.java
@@ -60,7 +60,7 @@
      * @param sendBy the last byte of this attempt, or of any other attempt of the request, may not leave after this time
      * @param connectBy a new connection must be up by this time, because a held read state waits for the attempt
      * @param atMostOnce the request must not run twice; such an attempt never uses a kept connection
-     * @param reads the server acts as a reader for this attempt, not as a writer
+     * @param atReader the server acts as a reader for this attempt, not as a writer
      * @param requestOver tells from any thread whether the request already has its final answer
      */
     public record Send(
@@ -72,7 +72,7 @@
             Instant sendBy,
             Instant connectBy,
             boolean atMostOnce,
-            boolean reads,
+            boolean atReader,
             BooleanSupplier requestOver)
             implements Message {
         /** The client has gone or the request already has its final answer. */
@@ -127,7 +127,7 @@
      * The answer is complete. {@code endedAt} is when the transport saw its end, which may be long before the mailbox gets to
      * this message; the lease of a read state counts from then.
      */
-    private record CallCompleted(ServerCall serverCall, boolean reusable, double keptTokens, Instant endedAt)
+    private record CallCompleted(ServerCall serverCall, boolean reusable, double cachedTokens, Instant endedAt)
             implements Message {}
 
     private record CallBroken(ServerCall serverCall, boolean lastByteMayHaveLeft, Instant endedAt) implements Message {}
@@ -161,14 +161,12 @@
     private static final Duration STREAM_STALL_TIMEOUT =
             Duration.ofSeconds(4); // maximum gap in a stream; clients may give up after 5 s
     // how long the last byte of a request is held back, so that a connection that the server is already closing is
-    // noticed
-    // before the request can run: nine in ten of such breaks arrive within this time
+    // noticed before the request can run: nine in ten of such breaks arrive within this time
     private static final Duration LAST_BYTE_HOLD = Duration.ofMillis(2);
     private static final Duration SHORT_ANSWER_TIMEOUT =
             Duration.ofMillis(800); // from the head to the end of an answer that is not a stream
     // from the choice of a connection to the first byte of the request: half of the second within which a drain must
-    // take
-    // effect
+    // take effect
     private static final Duration MAX_DISPATCH_DELAY = Duration.ofMillis(500);
     private static final int MAX_NEW_CONNECTIONS_PER_CALL = 3; // new connections that one call may use up
     private static final Duration RESET_CHECK_INTERVAL = Duration.ofMillis(1);
@@ -258,11 +256,11 @@
         } else if (message instanceof StreamEvent received) {
             onEvent(received.serverCall(), received.eventBytes());
         } else if (message instanceof CallCompleted received) {
-            received.serverCall().keptTokens = received.keptTokens();
+            received.serverCall().cachedTokens = received.cachedTokens();
             received.serverCall().endedAt = received.endedAt();
-            if (!Double.isNaN(received.keptTokens())) {
+            if (!Double.isNaN(received.cachedTokens())) {
                 recordStep(
-                        Recorder.EventType.WORD, received.serverCall(), "kept " + (long) received.keptTokens(), null);
+                        Recorder.EventType.WORD, received.serverCall(), "kept " + (long) received.cachedTokens(), null);
             }
             onCompleted(received.serverCall(), received.reusable());
         } else if (message instanceof CallBroken received) {
@@ -329,8 +327,7 @@
         serverCall.connectionReused = false;
         serverCall.endedAt = null;
         // own timer: HttpCore checks its timeouts only at intervals, so that a connect timeout of 250 ms took up to 600
-        // ms,
-        // while a read state stays held
+        // ms, while a read state stays held
         Instant now = setup.clock().instant();
         int connectNumber = ++serverCall.connectCount;
         tellLater(
@@ -409,12 +406,12 @@
         // the end of a lease depends on reads and releases, so their messages must not queue behind the events of many
         // streams
         boolean urgent = serverCall.command instanceof Release
-                || serverCall.sendCommand() != null && serverCall.sendCommand().reads();
+                || serverCall.sendCommand() != null && serverCall.sendCommand().atReader();
         Connector.Call outgoingCall;
         if (serverCall.command instanceof Send send) {
             outgoingCall = new Connector.AttemptCall(
                     send.spec(),
-                    send.reads(),
+                    send.atReader(),
                     () -> Duration.between(setup.clock().instant(), send.expiresAt()),
                     send.atMostOnce() || serverCall.connectionReused,
                     headCheck(serverCall.dispatchedAt),
@@ -448,11 +445,14 @@
             }
 
             @Override
-            public void end(boolean reusable, double keptTokens) {
+            public void end(boolean reusable, double cachedTokens) {
                 tell(
                         urgent,
                         new CallCompleted(
-                                serverCall, reusable, keptTokens, setup.clock().instant()));
+                                serverCall,
+                                reusable,
+                                cachedTokens,
+                                setup.clock().instant()));
             }
 
             @Override
@@ -581,8 +581,7 @@
             return;
         }
         // a server that answered before the last byte was sent may have run something, and a second answer must not
-        // follow
-        // the first
+        // follow the first
         boolean mayHaveRun = lastByteMayHaveLeft || serverCall.answerKind != null;
         recordStep(Recorder.EventType.WORD, serverCall, mayHaveRun ? "BROKEN" : "BROKEN before the last byte", null);
         if (!mayHaveRun && terminateIfNotSendable(serverCall, true)) {
@@ -658,8 +657,8 @@
         if (serverCall.command instanceof Send send) {
             attempts.remove(send.request(), serverCall);
             // urgent: queued behind many new requests, the end of a stream would come late and a read state would be
-            // held
-            // too long; urgent messages keep their order, so the first event of an attempt still comes before its end
+            // held too long; urgent messages keep their order, so the first event of an attempt still comes before its
+            // end
             setup.module()
                     .tellUrgent(new ModuleActor.AttemptFinished(
                             send.request(),
@@ -669,7 +668,7 @@
                             elapsed(serverCall),
                             serverCall.answerKind == AnswerKind.STATE_MISSING,
                             serverCall.report,
-                            serverCall.keptTokens,
+                            serverCall.cachedTokens,
                             serverCall.connection != null || serverCall.endedAt != null,
                             serverCall.endedAt == null ? setup.clock().instant() : serverCall.endedAt));
         } else if (serverCall.command instanceof Release release) {
--- a/src/main/java/copperbeam/routing/Recorder.java
+++ b/src/main/java/copperbeam/routing/Recorder.java
@@ -25,7 +25,7 @@
         RULE
     }
 
-    Recorder NONE = (what, request, attempt, server, text, span) -> {};
+    Recorder NONE = (type, request, attempt, server, text, duration) -> {};
 
     /**
      * Records one event.
--- a/src/main/java/copperbeam/routing/ReleaseActor.java
+++ b/src/main/java/copperbeam/routing/ReleaseActor.java
@@ -14,8 +14,8 @@
 
 /**
  * Delivers releases of read states. Any running server accepts a release on behalf of all, so a release is tried at one
- * server after another, and at four times as many after each period without an answer, until one confirms it. Guards against
- * states that stay pinned because the server asked was down, or because four in five servers are.
+ * server after another, and at four times as many after each period without an answer, until one confirms it. Guards
+ * against read states that stay in memory because the server asked first is down, or even four in five of all servers.
  */
 public final class ReleaseActor extends Actor<ReleaseActor.Message> {
     /** Messages of this actor. */
--- a/src/main/java/copperbeam/routing/RequestSpec.java
+++ b/src/main/java/copperbeam/routing/RequestSpec.java
@@ -6,7 +6,7 @@
  * One client's request as the core sees it, independent of the protocol. Only transports read the {@code payload}.
  *
  * @param id identifies the request to servers
- * @param customer name of the tenant in the settings, or null
+ * @param customer name of the customer in the settings, or null
  * @param prefix identifies the beginning of the prompt that is shared with other sessions, or null
  * @param deadline when the client stops waiting for the first token
  * @param resumed whether the client asks for the rest of a broken stream; such a request has already run
@@ -24,7 +24,7 @@
         boolean resumed,
         Payload payload) {
 
-    /** Creates a request without a tenant. */
+    /** Creates a request without a customer. */
     public RequestSpec(
             String id,
             String requestClass,
--- a/src/main/java/copperbeam/routing/ServerCall.java
+++ b/src/main/java/copperbeam/routing/ServerCall.java
@@ -31,7 +31,7 @@
     boolean brokenBeforeAccepted; // the connection broke before the ModuleActor accepted the first event
     Connector.AnswerKind answerKind;
     Report report;
-    double keptTokens = Double.NaN; // see Connector.CallListener.end
+    double cachedTokens = Double.NaN; // see Connector.CallListener.end
     final Deque<byte[]> pendingEvents =
             new ArrayDeque<>(); // events after the first, until the ModuleActor accepts that
 
--- a/src/main/java/copperbeam/routing/StateLease.java
+++ b/src/main/java/copperbeam/routing/StateLease.java
@@ -16,15 +16,14 @@
  */
 final class StateLease {
     // Shares of release_s that may pass since the start of the lease. Each leaves time for a release to reach some
-    // server
-    // before the whole has passed.
+    // server before the whole has passed.
     private static final double IDLE_SHARE = 0.5; // until the state is released while no attempt is in flight
 
     private static final double UNANSWERED_SHARE = 0.85; // until the first check of an attempt in flight
     private static final double LAST_CHECK_SHARE = 0.95; // until the second and last check of an attempt in flight
     private static final double CONNECT_SHARE = 0.6; // until an attempt's connection must be up
-    // minimum time for a connect after an interrupted read while no state is known to be held; the protocol's grace
-    // covers it
+    // minimum time for a connect after an interrupted read while no state is known to be held; it may exceed
+    // a very short release_s by no more than the protocol allows a release to be late
     private static final double MIN_CONNECT_S = 0.1;
 
     /** Failed outcomes after which the server may still have finished the read, or may yet finish it, and hold its state. */
--- a/src/main/java/copperbeam/simhost/Decoder.java
+++ b/src/main/java/copperbeam/simhost/Decoder.java
@@ -37,8 +37,8 @@
                     number(entry, "promise_s"),
                     aimUsPer1000Tokens * S_PER_US,
                     number(entry, "worth", 0),
-                    effect(textOrNull(entry, "semantics")),
-                    group(textOrNull(entry, "group")),
+                    repeats(textOrNull(entry, "semantics")),
+                    dedupScope(textOrNull(entry, "group")),
                     number(entry, "window_s", 0)));
         }
         List<Customer> customers = new ArrayList<>();
@@ -79,7 +79,7 @@
                         number(rules, "fall_s", 0),
                         releaseS > 0 ? releaseS : DEFAULT_RELEASE_S,
                         number(rules, "ask_within_s", 0)),
-                reports(textOrNull(optionalMap(config, "report"), "via")),
+                reportTiming(textOrNull(optionalMap(config, "report"), "via")),
                 "subscribe".equals(textOrNull(config, "discovery")),
                 number(optionalMap(config, "penalties"), "probe", 0),
                 flag(extra, "local_read"),
@@ -181,7 +181,7 @@
         return new Wire.Malformed("unknown " + what + " '" + value + "'");
     }
 
-    private static Repeats effect(String word) throws Wire.Malformed {
+    private static Repeats repeats(String word) throws Wire.Malformed {
         if (word == null) {
             throw new Wire.Malformed("field 'semantics' is missing");
         }
@@ -193,7 +193,7 @@
         };
     }
 
-    private static DedupScope group(String word) throws Wire.Malformed {
+    private static DedupScope dedupScope(String word) throws Wire.Malformed {
         return switch (word == null ? "all" : word) {
             case "all" -> DedupScope.ALL;
             case "zone" -> DedupScope.ZONE;
@@ -211,7 +211,7 @@
         };
     }
 
-    private static ReportTiming reports(String word) throws Wire.Malformed {
+    private static ReportTiming reportTiming(String word) throws Wire.Malformed {
         return switch (word == null ? "off" : word) {
             case "inline" -> ReportTiming.WITH_OUTCOMES;
             case "on_probe" -> ReportTiming.WITH_PROBES;
--- a/src/main/java/copperbeam/simhost/SimHost.java
+++ b/src/main/java/copperbeam/simhost/SimHost.java
@@ -31,9 +31,9 @@
     public static int run(InputStream in, OutputStream out, PrintStream err) throws IOException {
         BufferedReader lines = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), 1 << 16);
         SimHost host = new SimHost();
-        long number = 0;
+        long lineNumber = 0;
         for (String line = lines.readLine(); line != null; line = lines.readLine()) {
-            number++;
+            lineNumber++;
             try {
                 if (!line.isBlank() && host.handle(Wire.parseMessage(line))) {
                     out.write(host.reply.toString().getBytes(StandardCharsets.UTF_8));
@@ -41,7 +41,7 @@
                     host.reply.getBuffer().setLength(0);
                 }
             } catch (Wire.Malformed e) {
-                err.println("copperbeam simhost: line " + number + ": " + e.getMessage());
+                err.println("copperbeam simhost: line " + lineNumber + ": " + e.getMessage());
                 return 1;
             }
         }
--- a/src/main/java/copperbeam/transport/Acceptor.java
+++ b/src/main/java/copperbeam/transport/Acceptor.java
@@ -119,12 +119,12 @@
         while (selector.isOpen() || mayHaveMore && !abandoned) {
             try {
                 if (closing) {
-                    selector.close(); // first: a listener that is still registered stays open and gets connections
+                    selector.close(); // before the listener, whose close takes effect only once it is deregistered
                 } else {
                     selector.select(SELECT_TIMEOUT.toMillis());
                     selector.selectedKeys().clear();
                 }
-                queueAge.queueFilled();
+                queueAge.queueMayHoldConnections();
                 mayHaveMore = acceptQueued();
                 if (failures > 0 && !mayHaveMore) {
                     LOG.warning("accepting connections failed " + failures + " times, and works again");
--- a/src/main/java/copperbeam/transport/AdminServer.java
+++ b/src/main/java/copperbeam/transport/AdminServer.java
@@ -110,8 +110,7 @@
                 disconnectOlder(clock.instant().minus(CALL_TIMEOUT));
             } catch (IOException | RuntimeException | Error e) {
                 // neither a faulty call nor an Error (which the JVM throws when out of descriptors) may end the
-                // listener
-                // for all other callers
+                // listener for all other callers
                 if (!closed) {
                     LOG.log(Level.WARNING, "the admin listener continues after a failure", e);
                     pause();
@@ -158,8 +157,7 @@
     private void serve(Caller caller) {
         try {
             // a key stays marked as readable from its last select: without the check the command would run again when
-            // its
-            // reply comes, and undo what was since set through another process
+            // its reply comes, and undo what was since set through another process
             if (!caller.commandSent && caller.key.isValid() && caller.key.isReadable()) {
                 read(caller);
             }
--- a/src/main/java/copperbeam/transport/BoundedParser.java
+++ b/src/main/java/copperbeam/transport/BoundedParser.java
@@ -102,7 +102,7 @@
     }
 
     /** Counts the bytes of the lines that the parser reads. */
-    private final class CountingBuffer extends BufferView {
+    private final class CountingBuffer extends ForwardingInputBuffer {
         CountingBuffer(SessionInputBuffer buffer) {
             super(buffer);
         }
--- a/src/main/java/copperbeam/transport/Chunks.java
+++ b/src/main/java/copperbeam/transport/Chunks.java
@@ -58,7 +58,7 @@
      * Checks each chunk-size line. Rejects sizes with a sign, with which HttpCore would read its buffer backwards, and chunks
      * of gigabytes.
      */
-    private static final class SizeCheckingBuffer extends BufferView {
+    private static final class SizeCheckingBuffer extends ForwardingInputBuffer {
         private static final Pattern SIZE_PATTERN =
                 Pattern.compile("[0-9a-fA-F]{1,15}"); // compiled once, as it is used for each event of a stream
         private final int maxChunkBytes;
--- a/src/main/java/copperbeam/transport/ClientConnections.java
+++ b/src/main/java/copperbeam/transport/ClientConnections.java
@@ -27,7 +27,7 @@
             Duration.ofMillis(500); // from accept; one without a byte by then may be closed
 
     private static final Duration MAX_FIRST_READ_DELAY =
-            Duration.ofSeconds(1); // longest time under load from accept to the first read of a request sent before it
+            Duration.ofSeconds(1); // from accept, under load, to the first read of a request sent before the accept
     private static final int MAX_OVER_LIMIT =
             8; // connections accepted just to refuse their requests; take the program's own descriptors
 
@@ -39,9 +39,9 @@
         private final AtomicInteger openRequests = new AtomicInteger();
         private volatile Instant idleSince;
         final boolean overLimit; // accepted over the limit: its requests are refused
-        Instant queuedSince; // the earliest time at which it may have entered the listen queue; null: already used;
-        // only on
-        // the reactor's thread
+        // the earliest time at which the connection may have entered the listen queue; null once its first request was
+        // read; only on the reactor's thread
+        Instant queuedSince;
         volatile boolean hasReceived; // a byte was received
         volatile boolean receivingBody; // a request's body is being received
         boolean ignoresRequests; // no further request is read from it; only on the reactor's thread
@@ -78,7 +78,8 @@
 
         /**
          * The longest time that a request read now may have waited since its connection entered the listen queue; zero
-         * for all but the first request. Servers are told the client's timeout less this time.
+         * for all but the first request, and for a first one that came long after the accept. Servers are told the
+         * client's timeout less this time.
          */
         Duration takeMaxQueueTime(Instant now) {
             boolean sentBeforeAccept = queuedSince != null
@@ -155,7 +156,7 @@
     /**
      * {@code maxBusy}: limit on connections with an open request; {@code maxBodyBytes}: limit on buffered bodies. A
      * connection with an open request counts as two descriptors (the second one towards a server), an idle one as one; all
-     * together may use {@code 2 * maxBusy}. So many idle connections can't crowd out those with requests.
+     * together may use {@code 2 * maxBusy}. Thus, many idle connections can't crowd out those with requests.
      */
     public ClientConnections(int maxBusy, long maxBodyBytes, DescriptorBudget descriptors) {
         this.maxBusy = maxBusy;
--- a/src/main/java/copperbeam/transport/ClientReactor.java
+++ b/src/main/java/copperbeam/transport/ClientReactor.java
@@ -125,7 +125,7 @@
                 .setSelectInterval(TimeValue.ofMilliseconds(250))
                 .build();
         reactor = new DefaultConnectingIOReactor(
-                (session, life) -> newHandler(session, (SessionListener) life),
+                (session, listener) -> newHandler(session, (SessionListener) listener),
                 config,
                 task -> new Thread(task, "to-servers"),
                 null,
@@ -291,7 +291,8 @@
                 return;
             }
             if (current != null && current.isHeldByteNext()) {
-                // Reads what has arrived since the select: if the server has closed the connection, the byte must stay.
+                // Reads what has arrived since the select: if the server has closed the connection, the held byte must
+                // not be sent.
                 inputReady(ioSession, null);
                 if (ioSession.isOpen() && parser.isPartial()) {
                     failUnsolicitedHead(ioSession);
@@ -473,8 +474,8 @@
      */
     public void quiesce() {
         quiescing = true;
-        // First cancels connects: they are no sessions, at whose close the thread would block, and nothing else wakes
-        // it.
+        // Connects are cancelled first: blockIfQuiescing() is called for sessions only, and a pending connect would
+        // keep the thread in its select, from which nothing else would wake it.
         pendingConnects.forEach(p -> p.future.cancel(true));
         reactor.initiateShutdown();
     }
--- a/src/main/java/copperbeam/transport/DescriptorBudget.java
+++ b/src/main/java/copperbeam/transport/DescriptorBudget.java
@@ -23,7 +23,7 @@
     private record Reading(long openDescriptors, int connections, long takenAtNanos) {}
 
     private final long limit;
-    private final int idleConnections;
+    private final int maxIdleConnections;
     private final IntSupplier connections;
     private final LongSupplier openDescriptors;
     private final LongSupplier nanoTime;
@@ -31,32 +31,34 @@
     private volatile Reading reading;
 
     /**
-     * {@code idleConnections}: limit on idle connections to servers; {@code connections}: all connections to servers that are
-     * open or being opened; {@code openDescriptors}: open descriptors of the process, as the system counts them.
+     * {@code maxIdleConnections}: limit on idle connections to servers; {@code connections}: all connections to servers
+     * that are open or being opened; {@code openDescriptors}: open descriptors of the process, as the system counts
+     * them.
      */
     DescriptorBudget(
             long limit,
-            int idleConnections,
+            int maxIdleConnections,
             IntSupplier connections,
             LongSupplier openDescriptors,
             LongSupplier nanoTime) {
         this.limit = limit;
-        this.idleConnections = idleConnections;
+        this.maxIdleConnections = maxIdleConnections;
         this.connections = connections;
         this.openDescriptors = openDescriptors;
         this.nanoTime = nanoTime;
     }
 
     /**
-     * For this process, by the system's limit and count. {@code expected}: descriptors it may use by its configuration, with
-     * up to {@code idleConnections} idle connections to servers. Unlimited if the system allows far more than expected.
+     * For this process, by the system's limit and count. {@code expected}: descriptors it may use by its configuration,
+     * with up to {@code maxIdleConnections} idle connections to servers. Unlimited if the system allows far more than
+     * expected.
      */
-    public static DescriptorBudget ofProcess(int expected, int idleConnections, ClientReactor reactor) {
+    public static DescriptorBudget ofProcess(int expected, int maxIdleConnections, ClientReactor reactor) {
         int limit = ProcessDescriptors.limit();
         return limit < UNLIMITED_FROM_MULTIPLE * expected
                 ? new DescriptorBudget(
                         limit,
-                        idleConnections,
+                        maxIdleConnections,
                         reactor::connectionCount,
                         ProcessDescriptors::openCount,
                         System::nanoTime)
@@ -70,7 +72,7 @@
 
     /** Whether one more client may connect, given the open requests. Each client granted counts until the next reading. */
     boolean grantClient(int openRequests) {
-        int pendingConnections = Math.max(0, openRequests + idleConnections - connections.getAsInt());
+        int pendingConnections = Math.max(0, openRequests + maxIdleConnections - connections.getAsInt());
         boolean granted = remaining() - pendingConnections > MIN_FREE_AFTER_CLIENT;
         if (granted) {
             grantedSinceReading.incrementAndGet();
@@ -80,7 +82,7 @@
 
     /** Whether one more request may begin. Assumes that idle connections can't be reused for the requests still without one. */
     boolean mayBeginRequest(int openRequests) {
-        int inUse = Math.max(0, connections.getAsInt() - idleConnections);
+        int inUse = Math.max(0, connections.getAsInt() - maxIdleConnections);
         int pendingConnections = Math.max(0, openRequests - inUse);
         return remaining() - pendingConnections > MIN_FREE_AFTER_REQUEST;
     }
--- a/src/main/java/copperbeam/transport/BufferView.java
+++ b/src/main/java/copperbeam/transport/ForwardingInputBuffer.java
@@ -7,11 +7,11 @@
 import org.apache.hc.core5.http.nio.SessionInputBuffer;
 import org.apache.hc.core5.util.CharArrayBuffer;
 
-/** Delegates to a connection's input buffer; subclasses override methods to observe what is read. */
-abstract class BufferView implements SessionInputBuffer {
+/** Delegates to a connection's input buffer; subclasses override methods to observe or limit what is read. */
+abstract class ForwardingInputBuffer implements SessionInputBuffer {
     private final SessionInputBuffer buffer;
 
-    BufferView(SessionInputBuffer buffer) {
+    ForwardingInputBuffer(SessionInputBuffer buffer) {
         this.buffer = buffer;
     }
 
--- a/src/main/java/copperbeam/transport/HttpFrontServer.java
+++ b/src/main/java/copperbeam/transport/HttpFrontServer.java
@@ -245,13 +245,12 @@
             activeReads.incrementAndGet();
             try {
                 if (lingering) {
-                    discardInput(ioSession);
+                    discardWhileLingering(ioSession);
                     checkTimeouts();
                     unregisterIfClosed();
                 } else if (client.ignoresInput) {
                     // HttpCore would complete a partly buffered request and dispatch it on a connection that is about
-                    // to
-                    // close; left unread, it is retried by its client
+                    // to close; left unread, it is retried by its client
                     ioSession.clearEvent(SelectionKey.OP_READ);
                     checkTimeouts();
                     unregisterIfClosed();
@@ -326,7 +325,7 @@
 
         private void readOnce(IOSession ioSession, ByteBuffer bytes) throws IOException {
             if (awaitingCloseOnly) {
-                ignoreInput(ioSession);
+                discardWhileAwaitingClose(ioSession);
             } else {
                 super.inputReady(ioSession, bytes);
                 updateAwaitingClose(ioSession);
@@ -349,7 +348,7 @@
         }
 
         /** Discards input; closes the connection at its end, or once it exceeds the maximum body length. */
-        private void ignoreInput(IOSession ioSession) throws IOException {
+        private void discardWhileAwaitingClose(IOSession ioSession) throws IOException {
             ByteBuffer bytes = ByteBuffer.allocate(BUFFER_BYTES);
             int count = ioSession.read(bytes);
             ignoredBytes += count;
@@ -372,7 +371,7 @@
             }
         }
 
-        private void discardInput(IOSession ioSession) throws IOException {
+        private void discardWhileLingering(IOSession ioSession) throws IOException {
             ByteBuffer bytes = ByteBuffer.allocate(BUFFER_BYTES);
             int count = ioSession.read(bytes);
             for (int reads = 1; count > 0 && reads < MAX_DISCARD_READS_PER_EVENT; reads++) {
@@ -445,7 +444,10 @@
             return lastProgressAt.plus(FLUSH_TIMEOUT).isBefore(now);
         }
 
-        /** Whether a request takes too long to arrive while no earlier request is open. */
+        /**
+         * Whether a request takes too long to arrive while no earlier request is open; also records since when one is
+         * incomplete.
+         */
         private boolean isRequestLate(Instant now) {
             requestBeganAt = client.ignoresRequests || !parser.isPartial() && !client.receivingBody
                     ? null
@@ -471,8 +473,9 @@
         }
 
         /**
-         * Whether the connection may be closed: its client sent no byte in time, or it is idle and either was asked to close
-         * or all idle connections are being closed.
+         * Whether the connection may be closed: its client sent no byte in time, or it is idle and either was asked to
+         * close or all idle connections are being closed. If a request is open or arriving and no output is waiting,
+         * also withdraws the request to close.
          */
         private boolean isUnused(Instant now, boolean flushed) {
             boolean betweenRequests = !client.isBusy() && flushed && !parser.isPartial();
@@ -570,7 +573,7 @@
      * Stops listening at once, although connections may be in the kernel's queue; their clients retry elsewhere. Without
      * this, clients that connect faster than they are accepted would delay a stop until the process is killed.
      */
-    public void abandonAddress() {
+    public void stopListeningNow() {
         if (acceptor != null) {
             acceptor.abandon();
         }
@@ -635,14 +638,14 @@
      */
     public void quiesce() {
         closing.set(true);
-        abandonAddress();
+        stopListeningNow();
         active.reactor().initiateShutdown();
     }
 
     @Override
     public void close() {
         closing.set(true);
-        abandonAddress(); // else the acceptor's thread would wait for the reactor for good
+        stopListeningNow(); // else the acceptor's thread would wait for the reactor for good
         active.reactor().close(CloseMode.GRACEFUL);
     }
 }
--- a/src/main/java/copperbeam/transport/ListenQueueAge.java
+++ b/src/main/java/copperbeam/transport/ListenQueueAge.java
@@ -34,13 +34,13 @@
         this.clock = clock;
     }
 
-    /** The next accepted connection entered the queue after this time; null while the queue is empty. */
+    /** The next accepted connection entered the queue at about this time or later; null while the queue is empty. */
     Instant waitingSince() {
         return waitingSince;
     }
 
-    /** To be called when the queue has a connection. */
-    void queueFilled() {
+    /** To be called when the queue may have a connection. */
+    void queueMayHoldConnections() {
         if (waitingSince == null) {
             waitingSince = clock.instant();
             lastMarkerAt = waitingSince;
@@ -111,6 +111,7 @@
         return true;
     }
 
+    /** Closes a marker. Always returns true, so that a predicate can end with it. */
     private static boolean close(Marker marker) {
         try {
             marker.channel.close();
--- a/src/main/java/copperbeam/transport/PlainHttpClient.java
+++ b/src/main/java/copperbeam/transport/PlainHttpClient.java
@@ -26,11 +26,11 @@
     private final class Call {
         final InetSocketAddress address;
         final Timeouts timeouts;
-        final Response response;
+        final ResponseListener response;
         final AtomicBoolean ended = new AtomicBoolean();
         final AtomicReference<IOSession> session = new AtomicReference<>();
 
-        Call(InetSocketAddress address, Timeouts timeouts, Response response) {
+        Call(InetSocketAddress address, Timeouts timeouts, ResponseListener response) {
             this.address = address;
             this.timeouts = timeouts;
             this.response = response;
@@ -58,7 +58,7 @@
             String target,
             byte[] body,
             Timeouts timeouts,
-            Response response) {
+            ResponseListener response) {
         Call call = new Call(address, timeouts, response);
         IOSession idle = idleConnections.remove(address);
         if (idle != null && idle.isOpen()) {
--- a/src/main/java/copperbeam/transport/RequestDuplexer.java
+++ b/src/main/java/copperbeam/transport/RequestDuplexer.java
@@ -34,11 +34,11 @@
             ProtocolIOSession session,
             RequestParser parser,
             ClientConnections.Client client,
-            HandlerFactory<AsyncServerExchangeHandler> exchanges) {
+            HandlerFactory<AsyncServerExchangeHandler> exchangeFactory) {
         super(
                 session,
                 PROCESSOR,
-                exchanges,
+                exchangeFactory,
                 "http",
                 HttpFrontServer.HTTP1_CONFIG,
                 BoundedParser.HEAD_CODING,
--- a/src/main/java/copperbeam/transport/RequestParser.java
+++ b/src/main/java/copperbeam/transport/RequestParser.java
@@ -65,7 +65,7 @@
         }
     }
 
-    /** Checks that HttpCore makes only after parsing, where it would answer and close by itself. */
+    /** Makes the checks that HttpCore itself makes only after parsing, where it would answer and close by itself. */
     private static void checkConformance(HttpRequest head) throws IOException, HttpException {
         ProtocolVersion version = head.getVersion();
         if (version != null && version.greaterEquals(HttpVersion.HTTP_2)) {
--- a/src/main/java/copperbeam/transport/ServerConnector.java
+++ b/src/main/java/copperbeam/transport/ServerConnector.java
@@ -202,7 +202,7 @@
         @Override
         void prepareHead(HttpRequest head) {
             timeoutSent = call.timeLeft().get();
-            head.setHeader("X-Timeout", PlatformHeaders.timeout(timeoutSent));
+            head.setHeader("X-Timeout", PlatformHeaders.formatTimeout(timeoutSent));
         }
 
         /** False also if the body is sent so late that the X-Timeout in the head overstates the time left. */
@@ -215,7 +215,7 @@
         @Override
         void head(HttpResponse response) throws HttpException {
             answerKind = PlatformStatus.classifyAttempt(
-                    call.reads(), response.getCode(), "1".equals(headerValue(response, "X-Not-Processed")));
+                    call.atReader(), response.getCode(), "1".equals(headerValue(response, "X-Not-Processed")));
             isStream = answerKind == AnswerKind.STREAM;
             if (isStream
                     && !response.containsHeader("Transfer-Encoding")
--- a/src/main/java/copperbeam/transport/ServerExchange.java
+++ b/src/main/java/copperbeam/transport/ServerExchange.java
@@ -42,7 +42,7 @@
     static final int MAX_BODY_BYTES = 256 * 1024;
     static final int MAX_PIPELINED_REQUESTS = 8; // requests open on one connection
 
-    private static final Duration LINGER_TIME =
+    private static final Duration MIN_LINGER_TIME =
             Duration.ofMillis(100); // for the client to read the answer before the close
     private static final Duration ABORT_FLUSH_TIME =
             Duration.ofSeconds(1); // for sending what was written before an abort
@@ -86,11 +86,11 @@
     private HttpRequest request;
     private HttpContext context;
     private Instant arrivedAt;
-    private Duration maxQueueTime; // upper bound of its wait before arrivedAt
+    private Duration maxQueueTime; // upper bound of the request's wait before arrivedAt
     private boolean rejectedOrDispatched;
     private boolean requestUnread; // the rest of the request was not read
     private int reservedBodyBytes; // bytes of the body, reserved in the limit of all clients until the exchange ends
-    private boolean abortSeen;
+    private boolean abortSeen; // all output before an abort was handed to HttpCore; its next turn closes
 
     ServerExchange(
             ClientConnections.Client client,
@@ -123,8 +123,8 @@
         if (client.parseError != null) {
             reject(ServerSupport.toStatusCode(client.parseError), ServerSupport.toErrorMessage(client.parseError));
         } else if (client.ignoresRequests) {
-            // nothing after it is parsed as a request: hundreds of pipelined requests would use memory and delay the
-            // detection of the client's close
+            // nothing after this request is parsed as another one: hundreds of pipelined requests would use memory and
+            // delay the detection of the client's close
             reject(overloadStatus(), "too many requests on one connection");
         } else if (entity == null) {
             client.readyExchanges.add(this);
@@ -193,7 +193,8 @@
         client.receivingBody = false;
         requestUnread = true;
         client.ignoresRequests = true;
-        client.closeAt = clock.instant().plus(Duration.ofDays(1)); // the answer may have to wait for earlier ones
+        // replaced by a real time once the answer is written, which may have to wait for earlier ones
+        client.closeAt = clock.instant().plus(Duration.ofDays(1));
         client.session.clearEvent(SelectionKey.OP_READ);
         Header requestClass = request.getFirstHeader("X-Priority-Class");
         rejectionListener.rejected(requestClass == null ? null : requestClass.getValue(), status);
@@ -351,9 +352,9 @@
             next = pendingWrites.peek();
         }
         if (endStateBefore == EndState.COMPLETE && finished.compareAndSet(false, true)) {
-            // endStream comes before releaseRequest(): this may be the actors' thread, and in between the reactor's
-            // thread
-            // would see a connection with nothing left to write and close it, or a stop would find no open request
+            // endStream comes before releaseRequest(), as this may be the actors' thread: in the reverse order, the
+            // reactor's thread could in between see a connection with nothing left to write and close it, or a stop
+            // could find no open request
             client.ignoresInput = closesAfterAnswer || client.ignoresInput;
             channel.endStream(null);
             releaseRequest();
@@ -361,7 +362,7 @@
                 // HttpCore does not close while more requests are pipelined on this connection. If the head was sent
                 // before a drain began, it announced no close and the next request may be on its way: then its answer
                 // announces the close, or the connection is closed once it is idle
-                client.closeAt = clock.instant().plus(requestUnread ? LINGER_TIME : Duration.ZERO);
+                client.closeAt = clock.instant().plus(requestUnread ? MIN_LINGER_TIME : Duration.ZERO);
                 client.lingersBeforeClose = requestUnread;
                 client.wake(); // the reactor may already have written the end
             }
--- a/src/soak/java/copperbeam/soak/ConductorLife.java
+++ b/src/soak/java/copperbeam/soak/ConductorLife.java
@@ -53,14 +53,14 @@
     private void kill(long downMs) throws InterruptedException {
         site.history.add(new Observation.Killed(System.nanoTime(), conductor.name));
         conductor.process().destroyForcibly().waitFor();
-        conductor.takesClients(false);
+        conductor.setTakesClients(false);
         Thread.sleep(downMs);
     }
 
     private void restart() throws IOException, InterruptedException {
         Daemon.start("front", () -> {
             Thread.sleep(NEW_CONNECTIONS_MS);
-            conductor.takesClients(false);
+            conductor.setTakesClients(false);
         });
         stop(conductor.process());
         Thread.sleep(NEW_CONNECTIONS_MS);
@@ -71,7 +71,7 @@
         conductor.configure(site.agent(conductor).hostAndPort());
         conductor.start();
         awaitReady();
-        conductor.takesClients(true);
+        conductor.setTakesClients(true);
     }
 
     private void awaitReady() throws InterruptedException {
--- a/src/soak/java/copperbeam/soak/ConductorProcess.java
+++ b/src/soak/java/copperbeam/soak/ConductorProcess.java
@@ -81,7 +81,7 @@
         return takesClients;
     }
 
-    void takesClients(boolean accepting) {
+    void setTakesClients(boolean accepting) {
         takesClients = accepting;
     }
 
--- a/src/soak/java/copperbeam/soak/FaultProxy.java
+++ b/src/soak/java/copperbeam/soak/FaultProxy.java
@@ -37,8 +37,7 @@
     private static final AtomicInteger HOST_COUNTER = new AtomicInteger();
     private static final int HOSTS_PER_NET = 250;
     // larger than any burst of connects: if the queue overflows, the kernel drops handshakes that clients consider
-    // complete,
-    // which delays their bytes
+    // complete, which delays their bytes
     static final int BACKLOG = 32;
     private static final int POLL_MS = 5;
     private static final int PIECE_BYTES = 7; // bytes
--- a/src/soak/java/copperbeam/soak/FaultShim.java
+++ b/src/soak/java/copperbeam/soak/FaultShim.java
@@ -24,8 +24,8 @@
     private static final int SIGNAL_AT_LISTEN = 2;
     private static final int FAULTS = 8; // the first slot of the faults
     // slots per fault: error number, failures left, failures so far, calls to let pass first
-    private static final int FAULT_SLOTS = 4;
-    private static final int SIZE_BYTES = SLOT_BYTES * (FAULTS + FAULT_SLOTS * Fault.values().length);
+    private static final int SLOTS_PER_FAULT = 4;
+    private static final int SIZE_BYTES = SLOT_BYTES * (FAULTS + SLOTS_PER_FAULT * Fault.values().length);
     private static Path library;
 
     private final Path control;
@@ -98,7 +98,7 @@
 
     /** Makes the next {@code times} calls fail with this error number; 0: none. */
     public void fail(Fault fault, int errorNumber, long times) {
-        int slot = FAULTS + FAULT_SLOTS * fault.ordinal();
+        int slot = FAULTS + SLOTS_PER_FAULT * fault.ordinal();
         putSlot(slot, errorNumber);
         putSlot(slot + 1, times);
     }
@@ -111,12 +111,12 @@
     /** Lets the next {@code spared} calls pass and makes the {@code times} calls after them fail with this error number. */
     public void failAfter(Fault fault, int errorNumber, long spared, long times) {
         fail(fault, errorNumber, times);
-        putSlot(FAULTS + FAULT_SLOTS * fault.ordinal() + 3, spared);
+        putSlot(FAULTS + SLOTS_PER_FAULT * fault.ordinal() + 3, spared);
     }
 
     /** The number of calls that the library has made fail so far. */
     public long failedCount(Fault fault) {
-        return slots.getLong(SLOT_BYTES * (FAULTS + FAULT_SLOTS * fault.ordinal() + 2));
+        return slots.getLong(SLOT_BYTES * (FAULTS + SLOTS_PER_FAULT * fault.ordinal() + 2));
     }
 
     /** Deletes the control file; a process that has mapped it keeps its mapping. */
--- a/src/soak/java/copperbeam/soak/HttpConnection.java
+++ b/src/soak/java/copperbeam/soak/HttpConnection.java
@@ -91,11 +91,11 @@
         ByteArrayOutputStream body = new ByteArrayOutputStream();
         boolean complete = "chunked".equals(headers.get("Transfer-Encoding"))
                 ? readChunks(body)
-                : readLength(body, Integer.parseInt(headers.getOrDefault("Content-Length", "0")));
+                : readBytes(body, Integer.parseInt(headers.getOrDefault("Content-Length", "0")));
         return new Message(startLine, headers, body.toString(StandardCharsets.UTF_8), complete);
     }
 
-    private boolean readLength(ByteArrayOutputStream body, int length) throws IOException {
+    private boolean readBytes(ByteArrayOutputStream body, int length) throws IOException {
         byte[] bytes = in.readNBytes(length);
         body.writeBytes(bytes);
         return bytes.length == length;
@@ -109,7 +109,7 @@
                 if (length == 0) {
                     return readLine() != null;
                 }
-                if (!readLength(body, length) || readLine() == null) {
+                if (!readBytes(body, length) || readLine() == null) {
                     return false;
                 }
             }
--- a/src/soak/java/copperbeam/soak/Observation.java
+++ b/src/soak/java/copperbeam/soak/Observation.java
@@ -1,6 +1,6 @@
 package copperbeam.soak;
 
-/** An event that one party of the run observed; {@code at} is its time by {@link FakeSocket#nanoTime}. */
+/** An event that one party of the run observed; {@code at} is its time by {@link System#nanoTime}. */
 sealed interface Observation {
     long at();
 
--- a/src/soak/java/copperbeam/soak/SoakSite.java
+++ b/src/soak/java/copperbeam/soak/SoakSite.java
@@ -102,7 +102,7 @@
             if (conductor.awaitReady(START_TIMEOUT_MS) < 0) {
                 throw new IllegalStateException(conductor.name + " was not ready in time");
             }
-            conductor.takesClients(true);
+            conductor.setTakesClients(true);
         }
     }
 
--- a/src/soak/java/copperbeam/soak/TroubleInjector.java
+++ b/src/soak/java/copperbeam/soak/TroubleInjector.java
@@ -17,7 +17,7 @@
     // EADDRNOTAVAIL, ENETUNREACH, ECONNABORTED, ENOBUFS, ETIMEDOUT, EHOSTUNREACH, ENFILE
     private static final int[] NETWORK_ERRORS = {99, 101, 103, 105, 110, 113, 23};
     private static final int[] DISK_ERRORS = {5, 28}; // EIO, ENOSPC
-    private static final long MAX_ERRORS_MS = 600;
+    private static final long MAX_FAILING_CALLS_MS = 600;
     private static final int IDLE_CLIENTS = 150; // idle clients
     private static final int STALL_MS = 150; // the stall that the documentation assumes for a busy core
     private static final int MAX_SIGNAL_PAUSE_MS = 400; // at most, between the signals of a series
@@ -99,8 +99,8 @@
      * stopped: a JVM that hasn't reached its main method yet has no handler for the signal and is ended by it.
      */
     private void reload(ConductorProcess conductor, Trouble trouble) throws IOException, InterruptedException {
-        boolean starting = conductorLives.get(conductor.name).changing();
-        for (int signals = starting ? 0 : 1 + trouble.draw() % 3; signals > 0; signals--) {
+        boolean changing = conductorLives.get(conductor.name).changing();
+        for (int signals = changing ? 0 : 1 + trouble.draw() % 3; signals > 0; signals--) {
             site.newAgent(conductor);
             ConductorProcess.signal(conductor.process(), "HUP");
             Thread.sleep(trouble.target() % MAX_SIGNAL_PAUSE_MS);
@@ -117,7 +117,7 @@
     private static void failSystemCalls(ConductorProcess conductor, Trouble trouble) throws InterruptedException {
         int error = NETWORK_ERRORS[trouble.draw() % NETWORK_ERRORS.length];
         Fault fault = List.of(Fault.ACCEPT, Fault.CONNECT, Fault.SOCKET).get(trouble.target() % 3);
-        failCalls(conductor, fault, error, Math.min(trouble.lengthMs(), MAX_ERRORS_MS));
+        failCalls(conductor, fault, error, Math.min(trouble.lengthMs(), MAX_FAILING_CALLS_MS));
     }
 
     private static void failCalls(ConductorProcess conductor, Fault fault, int error, long lengthMs)
--- a/src/soak/java/copperbeam/soak/TroublePlan.java
+++ b/src/soak/java/copperbeam/soak/TroublePlan.java
@@ -49,21 +49,21 @@
      */
     record Trouble(Kind kind, int target, int draw, long fromMs, long lengthMs) {}
 
-    private static final int FIRST_MS = 1500; // since the start of the run
+    private static final int FIRST_TROUBLE_MS = 1500; // since the start of the run
     private static final int QUIET_END_MS = 5000; // no trouble begins in this last part of a run
     private static final int MAX_PAUSE_MS = 900; // between the beginnings of two troubles
     private static final int MIN_LENGTH_MS = 200;
     private static final int MAX_LENGTH_MS = 3500;
 
     static TroublePlan draw(Random random, long lengthMs) {
-        return new TroublePlan(drawTroubles(random, FIRST_MS, lengthMs));
+        return new TroublePlan(drawTroubles(random, FIRST_TROUBLE_MS, lengthMs));
     }
 
     /** A plan that first restarts all servers together and has no other trouble until they are warm. */
     static TroublePlan drawAfterRestart(Random random, long lengthMs, long warmWithinMs) {
         List<Trouble> troubles = new ArrayList<>();
-        troubles.add(new Trouble(Kind.ALL_RESTARTED, 0, 0, FIRST_MS, 0));
-        troubles.addAll(drawTroubles(random, FIRST_MS + warmWithinMs, lengthMs));
+        troubles.add(new Trouble(Kind.ALL_RESTARTED, 0, 0, FIRST_TROUBLE_MS, 0));
+        troubles.addAll(drawTroubles(random, FIRST_TROUBLE_MS + warmWithinMs, lengthMs));
         return new TroublePlan(troubles);
     }
 
--- a/src/test/java/copperbeam/BrainTest.java
+++ b/src/test/java/copperbeam/BrainTest.java
@@ -602,9 +602,9 @@
     /** The client gets the answer when the window ends, not at the deadline, and is not asked to retry. */
     @ParameterizedTest
     @EnumSource(DedupScope.class)
-    void aKeyedRequestWhoseWindowIsOverIsFailedAtOnce(DedupScope group) {
+    void aKeyedRequestWhoseWindowIsOverIsFailedAtOnce(DedupScope dedupScope) {
         ModuleFixture fixture = new ModuleFixture(
-                defaultSettings(TOP, new RequestClass("keyed", 3, 0, 3, Repeats.KEYED, group, 0.5)), 5);
+                defaultSettings(TOP, new RequestClass("keyed", 3, 0, 3, Repeats.KEYED, dedupScope, 0.5)), 5);
         fixture.onEvent(100, smallFleet());
         fixture.onEvent(100, new Arrival(1, "keyed", null, "s", "p", 1000, 500, 100, 108));
         String writer = onlyAttempt(fixture.onAttemptEnded(
@@ -666,9 +666,9 @@
     /** The writer that was sent the request disappears from the list, before or after the outcome of that attempt. */
     @ParameterizedTest
     @CsvSource({"ZONE,true", "ZONE,false", "CELL,true", "CELL,false"})
-    void aKeyedRequestsGroupIsKeptAfterItsServerLeftTheList(DedupScope group, boolean leavesBeforeOutcome) {
+    void aKeyedRequestsGroupIsKeptAfterItsServerLeftTheList(DedupScope dedupScope, boolean leavesBeforeOutcome) {
         ModuleFixture fixture =
-                new ModuleFixture(defaultSettings(TOP, requestClass("keyed", 3, 3, Repeats.KEYED, group)), 5);
+                new ModuleFixture(defaultSettings(TOP, requestClass("keyed", 3, 3, Repeats.KEYED, dedupScope)), 5);
         fixture.onEvent(100, fullList(member("r1", "r", 0), member("w0", "w", 0)));
         fixture.onEvent(100, new Arrival(1, "keyed", null, "s", "p", 1000, 500, 100, 108));
         assertEquals(
@@ -931,7 +931,7 @@
             fixture.onEvent(
                     at, new ServerListUpdate(ListKind.DELTA, List.of(member("new" + i / 2, "r", 0, state, at))));
         }
-        assertTrue(fixture.brain.trackedRecords() <= 6, "records left: " + fixture.brain.trackedRecords());
+        assertTrue(fixture.brain.trackedRecordCount() <= 6, "records left: " + fixture.brain.trackedRecordCount());
     }
 
     @Test
@@ -941,11 +941,11 @@
         fixture.onEvent(100, list);
         fixture.onAttemptEnded(
                 100.1, 1, 0, onlyAttempt(fixture.onArrival(100, 1, TOP, 1000)).server(), Outcome.CONNECT_FAILED);
-        assertEquals(1, fixture.brain.avoidedServers(), "it is ejected");
+        assertEquals(1, fixture.brain.avoidedServerCount(), "it is ejected");
         fixture.onEvent(100.2, list);
-        assertEquals(1, fixture.brain.avoidedServers());
+        assertEquals(1, fixture.brain.avoidedServerCount());
         fixture.onEvent(100.3, fullList(member("r1", "r", 0, ServerState.READY, 99), member("w1", "w", 0)));
-        assertEquals(0, fixture.brain.avoidedServers(), "it has restarted");
+        assertEquals(0, fixture.brain.avoidedServerCount(), "it has restarted");
     }
 
     // ---- source files --------------------------------------------------------------------------
--- a/src/test/java/copperbeam/ModuleDay.java
+++ b/src/test/java/copperbeam/ModuleDay.java
@@ -21,7 +21,7 @@
 
     /** The decision module, or a policy that takes its place. */
     interface Decider {
-        List<Action> on(double now, Event event);
+        List<Action> onEvent(double now, Event event);
     }
 
     /** A process: its decision module, the checker that observes it, and its pending outcomes. */
@@ -193,7 +193,7 @@
             if (rulesAreChecked) {
                 scheduled.node.checker.onEvent(now, scheduled.event);
             }
-            List<Action> actions = scheduled.node.decider.on(now, scheduled.event);
+            List<Action> actions = scheduled.node.decider.onEvent(now, scheduled.event);
             if (rulesAreChecked) {
                 scheduled.node.checker.onActions(now, actions);
             }
--- a/src/test/java/copperbeam/ModuleDayTest.java
+++ b/src/test/java/copperbeam/ModuleDayTest.java
@@ -20,10 +20,10 @@
 class ModuleDayTest {
     private static final int SEEDS = Integer.getInteger("day.seeds", 60);
 
-    private static void addServers(ModuleDay day, int countPerRole, double launchedAt) {
+    private static void addServers(ModuleDay simulation, int countPerRole, double launchedAt) {
         for (int i = 0; i < countPerRole; i++) {
-            day.putServer(member("r" + i, "r", i % 2, ServerState.READY, launchedAt));
-            day.putServer(member("w" + i, "w", i % 2, ServerState.READY, launchedAt));
+            simulation.putServer(member("r" + i, "r", i % 2, ServerState.READY, launchedAt));
+            simulation.putServer(member("w" + i, "w", i % 2, ServerState.READY, launchedAt));
         }
     }
 
@@ -34,16 +34,16 @@
     @ParameterizedTest
     @CsvSource({"1", "3", "10"})
     void aProcessStartedAmongColdServersSendsSoon(int serversPerRole) {
-        ModuleDay day = new ModuleDay(defaultSettings(LOW, TOP), 1);
-        addServers(day, serversPerRole, 100);
-        Node node = day.addNode(100.5);
+        ModuleDay simulation = new ModuleDay(defaultSettings(LOW, TOP), 1);
+        addServers(simulation, serversPerRole, 100);
+        Node node = simulation.addNode(100.5);
         for (int i = 0; i < 160; i++) {
-            day.submit(101 + i * 0.12, node, i % 2 == 0 ? TOP : LOW, "s" + i % 40, "p" + i % 7, 1000, 500, 6);
+            simulation.submit(101 + i * 0.12, node, i % 2 == 0 ? TOP : LOW, "s" + i % 40, "p" + i % 7, 1000, 500, 6);
         }
-        day.run(130);
+        simulation.run(130);
         assertTrue(node.maxConsecutiveRefusals < 15, "refused in a row: " + node.maxConsecutiveRefusals);
         assertTrue(node.firstAttemptAt < 103, "first attempt at " + node.firstAttemptAt);
-        assertTrue(day.count(f -> f.answered) >= 140, "answered " + day.count(f -> f.answered));
+        assertTrue(simulation.count(f -> f.answered) >= 140, "answered " + simulation.count(f -> f.answered));
     }
 
     /** Under low load with one slow, failing or hanging reader, no group of sessions has all its requests refused. */
@@ -53,7 +53,7 @@
         double worstExcess = 0;
         double worstLargestRatio = 1;
         for (int seed = 0; seed < 5; seed++) {
-            ModuleDay day = new ModuleDay(
+            ModuleDay simulation = new ModuleDay(
                     settings(
                             new Limits(4, true, probes, 0.5),
                             probes ? ReportTiming.WITH_PROBES : ReportTiming.NEVER,
@@ -61,33 +61,33 @@
                             LOW,
                             TOP),
                     seed);
-            addServers(day, 6, 0);
-            SimulatedServer faultyServer = day.servers.get("r3");
+            addServers(simulation, 6, 0);
+            SimulatedServer faultyServer = simulation.servers.get("r3");
             faultyServer.tokensPerS = fault.equals("slow") ? 1500 : faultyServer.tokensPerS;
             faultyServer.injectedOutcome = fault.equals("fails") ? Outcome.ERROR : null;
             faultyServer.hungFrom = fault.equals("hangs") ? 110 : faultyServer.hungFrom;
             faultyServer.hungUntil = 120;
-            List<Node> nodes = List.of(day.addNode(100), day.addNode(100), day.addNode(100));
+            List<Node> nodes = List.of(simulation.addNode(100), simulation.addNode(100), simulation.addNode(100));
             Map<String, List<RequestRecord>> sessions = new HashMap<>();
             for (int i = 0; i < 300; i++) {
                 String session = "s" + i;
-                double arrivalAt = 100 + day.random.nextDouble() * 25;
-                int turns = 1 + day.random.nextInt(5);
-                for (int turn = 0; turn < turns; turn++, arrivalAt += 1 + day.random.nextDouble() * 3) {
-                    RequestRecord request = day.submit(
+                double arrivalAt = 100 + simulation.random.nextDouble() * 25;
+                int turns = 1 + simulation.random.nextInt(5);
+                for (int turn = 0; turn < turns; turn++, arrivalAt += 1 + simulation.random.nextDouble() * 3) {
+                    RequestRecord request = simulation.submit(
                             arrivalAt,
-                            nodes.get(day.random.nextInt(3)),
+                            nodes.get(simulation.random.nextInt(3)),
                             i % 3 == 0 ? LOW : TOP,
                             session,
                             i % 2 == 0 ? null : "p" + i % 8,
-                            600 * Math.exp(1.2 * gaussian(day.random)),
+                            600 * Math.exp(1.2 * gaussian(simulation.random)),
                             300,
                             6);
                     sessions.computeIfAbsent(session, n -> new ArrayList<>()).add(request);
                 }
             }
-            day.run(160);
-            double refusedShare = day.count(request -> !request.answered) / (double) day.requests.size();
+            simulation.run(160);
+            double refusedShare = simulation.count(request -> !request.answered) / (double) simulation.requests.size();
             double fullyRefused = 0;
             double expectedByChance = 0;
             for (List<RequestRecord> requests : sessions.values()) {
@@ -95,7 +95,7 @@
                 expectedByChance += Math.pow(refusedShare, requests.size());
             }
             worstExcess = Math.max(worstExcess, (fullyRefused - expectedByChance) / sessions.size());
-            worstLargestRatio = Math.min(worstLargestRatio, answeredShareOfLargest(day) / (1 - refusedShare));
+            worstLargestRatio = Math.min(worstLargestRatio, answeredShareOfLargest(simulation) / (1 - refusedShare));
         }
         assertTrue(worstExcess <= 0.12, "share of sessions with every request refused, beyond chance: " + worstExcess);
         assertTrue(
@@ -111,8 +111,8 @@
         return sum;
     }
 
-    private static double answeredShareOfLargest(ModuleDay day) {
-        List<RequestRecord> requests = new ArrayList<>(day.requests.values());
+    private static double answeredShareOfLargest(ModuleDay simulation) {
+        List<RequestRecord> requests = new ArrayList<>(simulation.requests.values());
         requests.sort(Comparator.comparingDouble(f -> -f.arrival.promptTokens()));
         return requests.subList(0, requests.size() / 10).stream()
                         .filter(f -> f.answered)
@@ -123,8 +123,8 @@
     /** Draws settings, traffic and faults at random and checks all rules of the module's actions. */
     @ParameterizedTest
     @CsvSource({"0", "1", "2", "3"})
-    void noSettingsBreakARule(int row) {
-        for (int seed = row; seed < SEEDS; seed += 4) {
+    void noSettingsBreakARule(int seedOffset) {
+        for (int seed = seedOffset; seed < SEEDS; seed += 4) {
             SplittableRandom random = new SplittableRandom(seed);
             Settings settings = drawSettings(random);
             try {
@@ -179,12 +179,12 @@
     }
 
     private static void simulate(Settings settings, long seed, SplittableRandom random) {
-        ModuleDay day = new ModuleDay(settings, seed);
+        ModuleDay simulation = new ModuleDay(settings, seed);
         String layout = pick(random, "rw", "rwm", "m", "rm", "w");
         for (char kind : layout.toCharArray()) {
             int zones = 1 + random.nextInt(3);
             for (int i = random.nextInt(4); i >= 0; i--) {
-                day.putServer(new Member(
+                simulation.putServer(new Member(
                         "" + kind + i,
                         zones == 1 ? null : "z" + i % zones,
                         "" + kind,
@@ -195,13 +195,13 @@
             }
         }
         for (int i = 0; i < settings.nodes(); i++) {
-            day.addNode(100);
+            simulation.addNode(100);
         }
         double timeoutS = pick(random, 0.03, 0.5, 2.0, 6.0);
         double arrivalsPerS = pick(random, 1.0, 8.0, 40.0);
         for (double time = 100.1; time < 112; time -= Math.log(1 - random.nextDouble()) / arrivalsPerS) {
-            Node node = day.nodes.get(random.nextInt(settings.nodes()));
-            RequestRecord request = day.submit(
+            Node node = simulation.nodes.get(random.nextInt(settings.nodes()));
+            RequestRecord request = simulation.submit(
                     time,
                     node,
                     pick(random, settings.classes().toArray(new RequestClass[0])),
@@ -211,11 +211,11 @@
                     1,
                     timeoutS);
             if (random.nextInt(20) == 0) {
-                day.scheduleEvent(
+                simulation.scheduleEvent(
                         time + random.nextDouble() * timeoutS, node, new ClientLeft(request.arrival.request()));
             }
         }
-        List<SimulatedServer> servers = new ArrayList<>(day.servers.values());
+        List<SimulatedServer> servers = new ArrayList<>(simulation.servers.values());
         for (SimulatedServer server : servers) {
             server.injectedOutcome = pick(
                     random,
@@ -231,7 +231,7 @@
             server.hungUntil = server.hungFrom + 3;
         }
         for (double time = 101 + random.nextDouble(); time < 112; time += 2 * random.nextDouble()) {
-            day.run(time);
+            simulation.run(time);
             SimulatedServer server = pick(random, servers.toArray(new SimulatedServer[0]));
             Member member = server.member;
             server.member = new Member(
@@ -242,19 +242,19 @@
                     pick(random, ServerState.values()),
                     1,
                     random.nextBoolean() ? time : member.launchedAt());
-            for (Node node : day.nodes) {
-                day.scheduleEvent(
+            for (Node node : simulation.nodes) {
+                simulation.scheduleEvent(
                         time,
                         node,
                         random.nextInt(8) == 0
                                 ? new ServerListUpdate(ListKind.FULL, List.of()) // usually followed by a complete list
                                 : settings.mustSubscribe() && random.nextInt(4) == 0
                                         ? new ServerListUpdate(ListKind.FAILED, List.of())
-                                        : day.memberList(ListKind.FULL));
+                                        : simulation.memberList(ListKind.FULL));
             }
         }
-        day.run(125);
-        day.nodes.forEach(node -> assertTrue(
+        simulation.run(125);
+        simulation.nodes.forEach(node -> assertTrue(
                 node.checker.requests.values().stream().allMatch(l -> l.finished || l.streaming), "all answered"));
     }
 }
--- a/src/test/java/copperbeam/ModuleFixture.java
+++ b/src/test/java/copperbeam/ModuleFixture.java
@@ -21,17 +21,17 @@
         brain = new Brain(settings, seed);
     }
 
-    static RequestClass requestClass(String name, double aimS, double worth, Repeats effect, DedupScope group) {
-        return new RequestClass(name, aimS, 0.04, worth, effect, group, 5);
+    static RequestClass requestClass(String name, double aimS, double worth, Repeats repeats, DedupScope dedupScope) {
+        return new RequestClass(name, aimS, 0.04, worth, repeats, dedupScope, 5);
     }
 
-    static Settings settings(Limits limits, ReportTiming reports, boolean writersRead, RequestClass... classes) {
-        return settings(limits, reports, writersRead, List.of(), classes);
+    static Settings settings(Limits limits, ReportTiming reportTiming, boolean writersRead, RequestClass... classes) {
+        return settings(limits, reportTiming, writersRead, List.of(), classes);
     }
 
     static Settings settings(
             Limits limits,
-            ReportTiming reports,
+            ReportTiming reportTiming,
             boolean writersRead,
             List<Customer> customers,
             RequestClass... classes) {
@@ -46,7 +46,7 @@
                         new ServerKind("m", Role.MIXED, 1e5)),
                 limits,
                 RULES,
-                reports,
+                reportTiming,
                 false,
                 0.003,
                 writersRead,
--- a/src/test/java/copperbeam/ServiceDayTest.java
+++ b/src/test/java/copperbeam/ServiceDayTest.java
@@ -123,9 +123,9 @@
         double memoryTokens = pick(random, 0.0, 1.0, 1.0, 1.0)
                 * Math.max(4 * maxMeanTokens, slots * overallMeanTokens * logUniform(random, 0.5, 4));
         double readsPerS = (readers + mixed * 0.4) * readPerS / overallMeanTokens;
-        double slotsHeld =
+        double usableSlots =
                 memoryTokens > 0 ? Math.min(slots, memoryTokens / (overallMeanTokens + answerTokens)) : slots;
-        double writesPerS = (writers + mixed * 0.6) * slotsHeld / (answerTokens * tokenS + 0.1);
+        double writesPerS = (writers + mixed * 0.6) * usableSlots / (answerTokens * tokenS + 0.1);
         double utilization = pick(random, 0.3, 0.45, 0.6);
         double arrivalsPerS = Math.min(150, utilization * Math.min(readsPerS, writesPerS));
         Set<String> fields = new HashSet<>();
@@ -135,7 +135,7 @@
             }
         }
         boolean probes = random.nextBoolean();
-        ReportTiming reports = pick(random, ReportTiming.values());
+        ReportTiming reportTiming = pick(random, ReportTiming.values());
         Settings settings = new Settings(
                 nodes,
                 -1,
@@ -147,7 +147,7 @@
                         new ServerKind("m", Role.MIXED, memoryTokens)),
                 new Limits(pick(random, 2, 3, 3, 4, 8), random.nextBoolean(), probes, pick(random, 0.0, 2.0)),
                 new Rules(0.3, 10, 3, 2, logUniform(random, 0.05, 30), 10),
-                reports,
+                reportTiming,
                 false,
                 pick(random, 0.0, 0.003, 0.02),
                 random.nextBoolean(),
@@ -180,20 +180,23 @@
     }
 
     static LoadedDay simulate(World world, long seed, boolean reference) {
-        LoadedDay day = new LoadedDay(world.settings, world.site, seed);
+        LoadedDay simulation = new LoadedDay(world.settings, world.site, seed);
         int[] countByKind = {world.readers, world.writers, world.mixed};
         for (int k = 0; k < 3; k++) {
             String kind = "rwm".substring(k, k + 1);
             for (int i = 0; i < countByKind[k]; i++) {
-                day.putServer(
+                simulation.putServer(
                         new Member(kind + i, "z" + i % world.zones, kind, i % world.zones, ServerState.READY, 1, 0));
             }
         }
-        day.rulesAreChecked = !reference;
-        day.startServers(START_S, world.speedSpread);
+        simulation.rulesAreChecked = !reference;
+        simulation.startServers(START_S, world.speedSpread);
         List<Node> nodes = new ArrayList<>();
         for (int i = 0; i < world.settings.nodes(); i++) {
-            nodes.add(reference ? day.addNode(START_S, day.referencePolicy()) : day.addNode(START_S));
+            nodes.add(
+                    reference
+                            ? simulation.addNode(START_S, simulation.referencePolicy())
+                            : simulation.addNode(START_S));
         }
         SplittableRandom random = new SplittableRandom(seed ^ 77);
         double shareSum = 0;
@@ -222,7 +225,7 @@
                             world.meanTokens[classIndex]
                                     * Math.exp(logStdDev * gaussian(random) - logStdDev * logStdDev / 2)));
             int prefixIndex = random.nextInt(20);
-            day.submit(
+            simulation.submit(
                     arrivalAt,
                     nodes.get(random.nextInt(nodes.size())),
                     world.settings.classes().get(classIndex),
@@ -233,8 +236,8 @@
                     world.deadlineS[classIndex],
                     world.answerTokens);
         }
-        day.run(arrivalAt + maxDeadlineS + 1 + 2 * world.answerTokens * world.site.tokenS());
-        return day;
+        simulation.run(arrivalAt + maxDeadlineS + 1 + 2 * world.answerTokens * world.site.tokenS());
+        return simulation;
     }
 
     private static double gaussian(SplittableRandom random) {
@@ -245,16 +248,16 @@
         return sum;
     }
 
-    private static double answeredShare(LoadedDay day, List<RequestRecord> requests) {
+    private static double answeredShare(LoadedDay simulation, List<RequestRecord> requests) {
         return requests.stream()
-                        .filter(f -> day.firstTokenAt.getOrDefault(f.arrival.request(), Double.MAX_VALUE)
+                        .filter(f -> simulation.firstTokenAt.getOrDefault(f.arrival.request(), Double.MAX_VALUE)
                                 <= f.arrival.deadline())
                         .count()
                 / (double) Math.max(1, requests.size());
     }
 
-    private static List<RequestRecord> requestsOf(LoadedDay day, RequestClass requestClass, boolean longest) {
-        List<RequestRecord> requests = new ArrayList<>(day.requests.values().stream()
+    private static List<RequestRecord> requestsOf(LoadedDay simulation, RequestClass requestClass, boolean longest) {
+        List<RequestRecord> requests = new ArrayList<>(simulation.requests.values().stream()
                 .filter(f -> f.arrival.requestClass().equals(requestClass.name()))
                 .toList());
         if (longest) {
@@ -267,9 +270,9 @@
     /** Random settings; {@code -Dservice.seeds} gives the number of seeds, {@code -Dservice.first} the first one. */
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 2, 3})
-    void everyClassIsServedUnderLowLoad(int row) {
+    void everyClassIsServedUnderLowLoad(int seedOffset) {
         List<String> failures = new ArrayList<>();
-        for (int seed = FIRST_SEED + row; seed < FIRST_SEED + SEEDS; seed += 4) {
+        for (int seed = FIRST_SEED + seedOffset; seed < FIRST_SEED + SEEDS; seed += 4) {
             failures.addAll(findUnderservedClasses(seed));
         }
         assertTrue(failures.isEmpty(), String.join("\n", failures));
@@ -307,13 +310,13 @@
 
     private static List<String> findUnderservedClasses(int seed) {
         World world = drawWorld(new SplittableRandom(seed));
-        LoadedDay day = simulate(world, seed, false);
+        LoadedDay simulation = simulate(world, seed, false);
         LoadedDay reference = simulate(world, seed, true);
         List<String> failures = new ArrayList<>();
         for (RequestClass requestClass : world.settings.classes()) {
             for (boolean longest : new boolean[] {false, true}) {
-                List<RequestRecord> requests = requestsOf(day, requestClass, longest);
-                double answered = answeredShare(day, requests);
+                List<RequestRecord> requests = requestsOf(simulation, requestClass, longest);
+                double answered = answeredShare(simulation, requests);
                 double answeredByReference = answeredShare(reference, requestsOf(reference, requestClass, longest));
                 if (requests.size() >= MIN_GROUP_REQUESTS
                         && answeredByReference > 0.3
@@ -326,7 +329,7 @@
                             answered,
                             answeredByReference,
                             requests.size(),
-                            countEndReasons(day, requests),
+                            countEndReasons(simulation, requests),
                             world));
                 }
             }
@@ -335,10 +338,12 @@
     }
 
     /** Counts requests by end reason and number of attempts. */
-    private static Map<String, Integer> countEndReasons(LoadedDay day, List<RequestRecord> requests) {
+    private static Map<String, Integer> countEndReasons(LoadedDay simulation, List<RequestRecord> requests) {
         Map<String, Integer> counts = new TreeMap<>();
         requests.forEach(f -> counts.merge(
-                day.endReasons.getOrDefault(f.arrival.request(), "answered") + "/" + f.attempts, 1, Integer::sum));
+                simulation.endReasons.getOrDefault(f.arrival.request(), "answered") + "/" + f.attempts,
+                1,
+                Integer::sum));
         return counts;
     }
 }
--- a/src/test/java/copperbeam/SlowStartTest.java
+++ b/src/test/java/copperbeam/SlowStartTest.java
@@ -119,7 +119,7 @@
     private static ModuleDay simulate(World world, long seed) {
         Settings defaults = ModuleFixture.defaultSettings(LIGHT, HEAVY, BEST_EFFORT);
         List<ModuleDay.Node> nodes = new ArrayList<>();
-        ModuleDay day = null;
+        ModuleDay simulation = null;
         for (int i = 0; i < world.nodes; i++) {
             Settings settings = new Settings(
                     world.nodes,
@@ -134,11 +134,11 @@
                     0.003,
                     false,
                     true);
-            if (day == null) {
-                day = new ModuleDay(settings, seed);
-                startServers(day, world, world.processesAreNew ? START_S : 0);
+            if (simulation == null) {
+                simulation = new ModuleDay(settings, seed);
+                startServers(simulation, world, world.processesAreNew ? START_S : 0);
             }
-            nodes.add(day.addNode(world.processesAreNew ? START_S : START_S - 25, settings, seed * 1000 + i));
+            nodes.add(simulation.addNode(world.processesAreNew ? START_S : START_S - 25, settings, seed * 1000 + i));
         }
         double arrivalsPerS = world.capacityPerS * world.serversPerRole;
         boolean processesAreNew = world.processesAreNew;
@@ -146,52 +146,53 @@
         double lastArrivalAt = START_S + world.rules.warmUpS();
         for (double arrivalAt = firstArrivalAt;
                 arrivalAt < lastArrivalAt;
-                arrivalAt -= Math.log(1 - day.random.nextDouble()) / arrivalsPerS) {
-            boolean heavy = day.random.nextDouble() < HEAVY_REQUEST_SHARE;
-            day.submit(
+                arrivalAt -= Math.log(1 - simulation.random.nextDouble()) / arrivalsPerS) {
+            boolean heavy = simulation.random.nextDouble() < HEAVY_REQUEST_SHARE;
+            simulation.submit(
                     arrivalAt,
-                    nodes.get(drawNode(world, day)),
+                    nodes.get(drawNode(world, simulation)),
                     heavy ? HEAVY : LIGHT,
-                    "s" + day.random.nextInt(1000),
+                    "s" + simulation.random.nextInt(1000),
                     null,
                     LIGHT_TOKENS * (heavy ? world.costRatio : 1),
                     0,
                     DEADLINE_S);
         }
         if (!processesAreNew) {
-            day.run(START_S);
-            startServers(day, world, START_S);
+            simulation.run(START_S);
+            startServers(simulation, world, START_S);
             for (ModuleDay.Node n : nodes) {
-                day.scheduleEvent(START_S, n, day.memberList(ListKind.FULL));
+                simulation.scheduleEvent(START_S, n, simulation.memberList(ListKind.FULL));
             }
         }
-        day.run(lastArrivalAt + 2 * DEADLINE_S);
-        return day;
+        simulation.run(lastArrivalAt + 2 * DEADLINE_S);
+        return simulation;
     }
 
     /** Draws the process of a request: one process in five gets roughly eight times the requests of the others. */
-    private static int drawNode(World world, ModuleDay day) {
-        boolean busy = day.random.nextInt(world.nodes + 4) < world.nodes / 2 + 4;
-        int randomNode = day.random.nextInt(world.nodes);
+    private static int drawNode(World world, ModuleDay simulation) {
+        boolean busy = simulation.random.nextInt(world.nodes + 4) < world.nodes / 2 + 4;
+        int randomNode = simulation.random.nextInt(world.nodes);
         return busy ? randomNode / 5 * 5 : randomNode;
     }
 
-    private static void startServers(ModuleDay day, World world, double launchedAt) {
+    private static void startServers(ModuleDay simulation, World world, double launchedAt) {
         for (int i = 0; i < world.serversPerRole; i++) {
-            day.putServer(ModuleFixture.member("r" + i, "r", i % 2, ServerState.READY, launchedAt)).tokensPerS = 1e6;
-            day.putServer(ModuleFixture.member("w" + i, "w", i % 2, ServerState.READY, launchedAt));
+            simulation.putServer(ModuleFixture.member("r" + i, "r", i % 2, ServerState.READY, launchedAt)).tokensPerS =
+                    1e6;
+            simulation.putServer(ModuleFixture.member("w" + i, "w", i % 2, ServerState.READY, launchedAt));
         }
     }
 
-    private static double maxBoundRatio(World world, ModuleDay day) {
+    private static double maxBoundRatio(World world, ModuleDay simulation) {
         Map<String, ArrayDeque<double[]>> windows = new HashMap<>();
         Map<String, Double> sums = new HashMap<>();
         double maxRatio = 0;
-        for (ModuleDay.SentAttempt attempt : day.sentAttempts) {
+        for (ModuleDay.SentAttempt attempt : simulation.sentAttempts) {
             if (attempt.at() < START_S || !world.inSlowStart(attempt.at())) {
                 continue;
             }
-            double weight = world.weight(day.requests.get(attempt.request()));
+            double weight = world.weight(simulation.requests.get(attempt.request()));
             ArrayDeque<double[]> window = windows.computeIfAbsent(attempt.server(), n -> new ArrayDeque<>());
             double sum = sums.getOrDefault(attempt.server(), 0.0) + weight;
             window.add(new double[] {attempt.at(), weight});
@@ -242,11 +243,11 @@
         }
     }
 
-    private static void countServedByReference(World world, ModuleDay day, Totals totals) {
+    private static void countServedByReference(World world, ModuleDay simulation, Totals totals) {
         Reference reader = new Reference(world);
         Reference writer = new Reference(world);
         List<RequestRecord> waiting = new ArrayList<>();
-        List<RequestRecord> requests = new ArrayList<>(day.requests.values());
+        List<RequestRecord> requests = new ArrayList<>(simulation.requests.values());
         int nextIndex = 0;
         for (double time = START_S - DEADLINE_S; time < START_S + world.rules.warmUpS() + DEADLINE_S; time += 0.02) {
             while (nextIndex < requests.size() && requests.get(nextIndex).arrivedAt <= time) {
@@ -282,9 +283,9 @@
     private static Totals simulateAll(World world, int seeds) {
         Totals totals = new Totals();
         for (int seed = 0; seed < seeds; seed++) {
-            ModuleDay day = simulate(world, seed);
-            totals.maxBoundRatio = Math.max(totals.maxBoundRatio, maxBoundRatio(world, day));
-            for (RequestRecord request : day.requests.values()) {
+            ModuleDay simulation = simulate(world, seed);
+            totals.maxBoundRatio = Math.max(totals.maxBoundRatio, maxBoundRatio(world, simulation));
+            for (RequestRecord request : simulation.requests.values()) {
                 if (!world.liesInSlowStart(request)) {
                     continue;
                 }
@@ -296,7 +297,7 @@
                     totals.lightServed += request.answered ? 1 : 0;
                 }
             }
-            countServedByReference(world, day, totals);
+            countServedByReference(world, simulation, totals);
         }
         return totals;
     }
--- a/src/test/java/copperbeam/handover/SharedStateTest.java
+++ b/src/test/java/copperbeam/handover/SharedStateTest.java
@@ -108,7 +108,7 @@
 
         void command(int process, int target, boolean banned, Instant at) {
             SharedState before = states[process];
-            states[process] = target == 0 ? before.drain(banned, at) : before.withBan("s" + target, banned, at);
+            states[process] = target == 0 ? before.withDrain(banned, at) : before.withBan("s" + target, banned, at);
             assertEquals(
                     states[process] == before,
                     revisions[process][target] % 2 == 1 == banned,
@@ -188,8 +188,8 @@
     }
 
     /**
-     * Processes: name, start, phase (sTarting, Serving, Leaving) and slot; then the slots in use, the asking process, its
-     * expected successor and whether it has others.
+     * Processes: name, start, phase (T: STARTING, S: SERVING, L: LEAVING) and slot; then the slots in use, the asking
+     * process, its expected successor and whether other processes are alive.
      */
     @DataProvider
     public Object[][] lives() {
--- a/src/test/java/copperbeam/handover/StateCodecTest.java
+++ b/src/test/java/copperbeam/handover/StateCodecTest.java
@@ -27,7 +27,7 @@
             .withBan("b:1", true, NOW)
             .withBan("é \"\\\n", true, NOW)
             .withBan("b:1", false, NOW)
-            .drain(true, NOW)
+            .withDrain(true, NOW)
             .withProcess("p1", new ProcessInfo(NOW, Phase.SERVING, 0))
             .withProcess("p2", new ProcessInfo(NOW, Phase.STARTING, 7));
     private static final byte[] FILE = StateCodec.encode("c", SAMPLE, NOW);
@@ -84,7 +84,7 @@
         Path directory = Files.createTempDirectory("handover");
         Path state = directory.resolve("state");
         Path temporary = directory.resolve("state.tmp");
-        SharedState next = SAMPLE.drain(false, NOW);
+        SharedState next = SAMPLE.withDrain(false, NOW);
         byte[] file = StateCodec.encode("c", next, NOW);
         for (int written = 0; written <= file.length; written++) {
             Files.write(state, FILE);
@@ -114,7 +114,7 @@
         return new Object[][] {
             {"", "not a copperbeam state file"},
             {"{}", "not a copperbeam state file"},
-            {"copperbeam-state 2 0 {}", "of another form version"},
+            {"copperbeam-state 2 0 {}", "of another format version"},
             {"copperbeam-state 1 0000", "truncated in its header"},
             {"copperbeam-state 1 zz 1\n", "malformed header"},
             {text(FILE).replaceFirst(" 1 ", " 1 0"), "malformed header"},
--- a/src/test/java/copperbeam/membership/MemberBookTest.java
+++ b/src/test/java/copperbeam/membership/MergedMembersTest.java
@@ -21,7 +21,7 @@
 import org.testng.annotations.Test;
 
 /** Merging of the lists of several sources: which source's report of a server counts. */
-public class MemberBookTest {
+public class MergedMembersTest {
     private static final Duration MAX_LAG = Duration.ofSeconds(10);
 
     /** {@code a+0}: server a is ready and was launched at 0 s; {@code -}: draining; {@code x}: gone. */
@@ -95,7 +95,7 @@
 
     @Test(dataProvider = "days")
     public void mergedList(String name, String script, String expected) {
-        MemberBook book = new MemberBook(MAX_LAG);
+        MergedMembers book = new MergedMembers(MAX_LAG);
         TreeMap<String, Entry> merged = new TreeMap<>();
         for (String step : script.split(";")) {
             Instant now = Instant.EPOCH.plusSeconds(Long.parseLong(step.substring(step.indexOf('@') + 1)));
@@ -126,7 +126,7 @@
     /** Guards against unbounded growth if servers keep joining under new ids. */
     @Test
     public void goneServersAreForgotten() {
-        MemberBook book = new MemberBook(MAX_LAG);
+        MergedMembers book = new MergedMembers(MAX_LAG);
         Instant now = Instant.EPOCH;
         for (int i = 0; i < 10_000; i++) {
             now = now.plusSeconds(1);
--- a/src/test/java/copperbeam/membership/OneClockTest.java
+++ b/src/test/java/copperbeam/membership/OneClockTest.java
@@ -1,6 +1,6 @@
 package copperbeam.membership;
 
-import static copperbeam.membership.MemberBookTest.entries;
+import static copperbeam.membership.MergedMembersTest.entries;
 import static org.testng.Assert.assertTrue;
 import static org.testng.Assert.fail;
 
@@ -125,20 +125,22 @@
             events.add(new Event(time, order++, task));
         }
 
-        boolean hasOutages(StartCall a) {
-            return a.address().equals(ADDRESSES[scenario.moves() ? 1 : 0]);
+        boolean hasOutages(StartCall startCall) {
+            return startCall.address().equals(ADDRESSES[scenario.moves() ? 1 : 0]);
         }
 
-        void carryOut(List<Action> steps) {
-            for (Action s : steps) {
-                if (s instanceof StartCall a) {
-                    startCall(a);
-                } else if (s instanceof CancelCall d) {
-                    openCalls.remove(d.callId());
-                } else if (s instanceof StartTimer w) {
-                    schedule(now + (int) w.delay().toMillis(), () -> carryOut(plan.onTimer(w.token(), instant())));
-                } else if (s instanceof Publish t
-                        && t.change().entries().stream()
+        void carryOut(List<Action> actions) {
+            for (Action action : actions) {
+                if (action instanceof StartCall startCall) {
+                    startCall(startCall);
+                } else if (action instanceof CancelCall cancelCall) {
+                    openCalls.remove(cancelCall.callId());
+                } else if (action instanceof StartTimer startTimer) {
+                    schedule(
+                            now + (int) startTimer.delay().toMillis(),
+                            () -> carryOut(plan.onTimer(startTimer.token(), instant())));
+                } else if (action instanceof Publish publish
+                        && publish.change().entries().stream()
                                 .anyMatch(e -> e.member().state() == ServerState.DRAINING)) {
                     appliedAt = now;
                 }
@@ -225,8 +227,8 @@
             }
             if (!silent.isEmpty()) {
                 // the first silence counts; if the service is polled and more than three calls in a row were silent,
-                // each
-                // counts by itself: a client that must not overload the service can't always make three more in time
+                // each counts by itself: a client that must not overload the service can't always make three more in
+                // time
                 int silentCount = silent.size();
                 knownAt = Math.max(
                         knownAt,
@@ -247,7 +249,7 @@
     }
 
     @Test(dataProvider = "modes")
-    public void noDrainIsKnownLaterThanTheClockAllows(boolean pushed, boolean moves) {
+    public void noDrainIsAppliedAfterItsDeadline(boolean pushed, boolean moves) {
         int[] totals = new int[2];
         for (int kinds = 0; kinds < 16; kinds++) {
             for (int from : new int[] {0, MOVE_AT_MS, 1300, 3900}) {
--- a/src/test/java/copperbeam/membership/TroubleOrdersTest.java
+++ b/src/test/java/copperbeam/membership/TroubleOrdersTest.java
@@ -1,6 +1,6 @@
 package copperbeam.membership;
 
-import static copperbeam.membership.MemberBookTest.entries;
+import static copperbeam.membership.MergedMembersTest.entries;
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 import static org.testng.Assert.fail;
@@ -63,8 +63,8 @@
         }
 
         /** Whether the failure can be told from a call that waits for a change. */
-        boolean isDetectable(StartCall ask) {
-            return ask.maxWait().compareTo(WatchPlan.RETRY_POLL_WAIT) <= 0 || afterMs <= 100;
+        boolean isDetectable(StartCall call) {
+            return call.maxWait().compareTo(WatchPlan.RETRY_POLL_WAIT) <= 0 || afterMs <= 100;
         }
     }
 
@@ -109,18 +109,18 @@
             events.add(new Event(now + afterMs, order++, task));
         }
 
-        void carryOut(List<Action> steps) {
-            for (Action s : steps) {
-                if (s instanceof StartCall a) {
-                    startCall(a);
-                } else if (s instanceof CancelCall d) {
-                    openCalls.remove(d.callId());
-                } else if (s instanceof StartTimer w) {
+        void carryOut(List<Action> actions) {
+            for (Action action : actions) {
+                if (action instanceof StartCall startCall) {
+                    startCall(startCall);
+                } else if (action instanceof CancelCall cancelCall) {
+                    openCalls.remove(cancelCall.callId());
+                } else if (action instanceof StartTimer startTimer) {
                     schedule(
-                            (int) w.delay().toMillis(),
-                            () -> carryOut(plan.onTimer(w.token(), Instant.EPOCH.plusMillis(now))));
-                } else if (s instanceof Publish t
-                        && t.change().entries().stream()
+                            (int) startTimer.delay().toMillis(),
+                            () -> carryOut(plan.onTimer(startTimer.token(), Instant.EPOCH.plusMillis(now))));
+                } else if (action instanceof Publish publish
+                        && publish.change().entries().stream()
                                 .anyMatch(e -> e.member().state() == ServerState.DRAINING)) {
                     appliedAt = now;
                 }
--- a/src/test/java/copperbeam/membership/WatchPlanTest.java
+++ b/src/test/java/copperbeam/membership/WatchPlanTest.java
@@ -1,6 +1,6 @@
 package copperbeam.membership;
 
-import static copperbeam.membership.MemberBookTest.entries;
+import static copperbeam.membership.MergedMembersTest.entries;
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
 import static org.testng.Assert.assertTrue;
@@ -71,16 +71,16 @@
             carryOut(plan.moveTo(ADDRESSES[0]));
         }
 
-        void carryOut(List<Action> steps) {
-            for (Action s : steps) {
-                if (s instanceof StartCall a) {
+        void carryOut(List<Action> actions) {
+            for (Action action : actions) {
+                if (action instanceof StartCall a) {
                     openCalls.put(a.callId(), a);
-                } else if (s instanceof CancelCall d) {
-                    openCalls.remove(d.callId());
-                } else if (s instanceof StartTimer w) {
-                    timers.add(w);
-                } else if (s instanceof Publish t) {
-                    MemberBookTest.applyTo(published, t.change());
+                } else if (action instanceof CancelCall cancelCall) {
+                    openCalls.remove(cancelCall.callId());
+                } else if (action instanceof StartTimer startTimer) {
+                    timers.add(startTimer);
+                } else if (action instanceof Publish publish) {
+                    MergedMembersTest.applyTo(published, publish.change());
                 }
             }
             Entry a = published.get("a");
@@ -90,9 +90,9 @@
                             && a.member().state() == ServerState.READY
                             && a.member().launchedAt() == 0,
                     "a is used again although its drain was reported");
-            for (InetSocketAddress at : ADDRESSES) {
+            for (InetSocketAddress address : ADDRESSES) {
                 assertTrue(openCalls.values().stream()
-                                .filter(o -> o.address().equals(at))
+                                .filter(o -> o.address().equals(address))
                                 .count()
                         <= WatchPlan.MAX_CALLS_PER_ADDRESS);
             }
@@ -157,15 +157,15 @@
             }
         }
 
-        void answer(StartCall ask, int agent) {
-            openCalls.remove(ask.callId());
+        void answer(StartCall call, int agent) {
+            openCalls.remove(call.callId());
             drainReported |= agentVersions[agent] == 1;
-            carryOut(plan.onAnswer(ask.callId(), listing(ask, agentVersions[agent]), Instant.EPOCH));
+            carryOut(plan.onAnswer(call.callId(), listing(call, agentVersions[agent]), Instant.EPOCH));
         }
     }
 
-    private static Listing listing(StartCall ask, int version) {
-        boolean full = ask.sinceVersion() < 0;
+    private static Listing listing(StartCall call, int version) {
+        boolean full = call.sinceVersion() < 0;
         return new Listing(
                 10 + version,
                 full,
@@ -248,9 +248,9 @@
     public void refusalsAndSilenceAreBoundedInCalls() {
         ScriptRun run = new ScriptRun(3, 0);
         for (int i = 0; i < 50; i++) {
-            StartCall a = run.openCalls.remove(firstCall(run, 0).callId());
+            StartCall call = run.openCalls.remove(firstCall(run, 0).callId());
             run.timers.clear();
-            run.carryOut(run.plan.onFailure(a.callId(), false));
+            run.carryOut(run.plan.onFailure(call.callId(), false));
             assertTrue(run.openCalls.isEmpty());
             assertTrue(run.timers.stream().allMatch(x -> isWithinJitter(x.delay(), CONSTANT_DELAY)), "" + run.timers);
             assertEquals(run.timers.size(), 1);
@@ -306,9 +306,9 @@
     public void aStartAsksOnlyForWhatTheKnownListLacks() {
         WatchPlan plan = new WatchPlan(CONSTANT_BACKOFF);
         List<Action> steps = plan.startFrom(ADDRESSES[0], new Listing(10, true, entries(LISTS[0])), Instant.EPOCH);
-        StartCall ask = (StartCall) steps.get(0);
-        assertEquals(List.of(ask.sinceVersion(), ask.maxWait()), List.of(10L, WatchPlan.MAX_POLL_WAIT));
-        List<Action> more = plan.onAnswer(ask.callId(), new Listing(11, false, entries("a-0")), Instant.EPOCH);
+        StartCall call = (StartCall) steps.get(0);
+        assertEquals(List.of(call.sinceVersion(), call.maxWait()), List.of(10L, WatchPlan.MAX_POLL_WAIT));
+        List<Action> more = plan.onAnswer(call.callId(), new Listing(11, false, entries("a-0")), Instant.EPOCH);
         assertEquals(
                 ((Publish) more.stream()
                                 .filter(Publish.class::isInstance)
@@ -320,9 +320,9 @@
         StartCall next = (StartCall)
                 more.stream().filter(StartCall.class::isInstance).findFirst().orElseThrow();
         assertEquals(next.sinceVersion(), 11);
-        StartTimer wake = (StartTimer) plan.onFailure(next.callId(), true).get(0);
+        StartTimer retryTimer = (StartTimer) plan.onFailure(next.callId(), true).get(0);
         assertTrue(
-                ((StartCall) plan.onTimer(wake.token(), Instant.EPOCH).get(0)).sinceVersion() < 0,
+                ((StartCall) plan.onTimer(retryTimer.token(), Instant.EPOCH).get(0)).sinceVersion() < 0,
                 "asks for the full list");
     }
 
@@ -403,11 +403,11 @@
                 StartCall call = run.openCalls.remove(firstCall(run, 0).callId());
                 run.carryOut(run.plan.onAnswer(call.callId(), nothing, Instant.EPOCH));
                 assertTrue(run.openCalls.isEmpty(), nothing + ": called again at once");
-                StartTimer space = run.timers.stream()
+                StartTimer intervalTimer = run.timers.stream()
                         .filter(x -> x.delay().equals(WatchPlan.MIN_CALL_INTERVAL))
                         .reduce((x, y) -> y)
                         .orElseThrow();
-                run.carryOut(run.plan.onTimer(space.token(), Instant.EPOCH));
+                run.carryOut(run.plan.onTimer(intervalTimer.token(), Instant.EPOCH));
                 assertEquals(run.openCalls.size(), 1);
             }
             StartCall held = run.openCalls.remove(firstCall(run, 0).callId());
--- a/src/test/java/copperbeam/model/Exchange.java
+++ b/src/test/java/copperbeam/model/Exchange.java
@@ -8,7 +8,7 @@
 import copperbeam.routing.Connector.ReleaseCall;
 import java.time.Duration;
 
-/** One call on a simulated {@link SimulatedConnection}, and its answer. */
+/** One call on a simulated connection ({@link Link}), and its answer. */
 final class Exchange {
     private static final long RETRANSMIT_INTERVAL_NS = 20 * VirtualTime.NANOS_PER_MS;
 
@@ -73,7 +73,7 @@
                 "head of attempt " + attempt.number + " to " + link.server + " announces " + announcedTimeout.toMillis()
                         + " ms" + (attemptCall.holdLastByte() ? ", last byte held back" : "")
                         + (fault == null ? "" : ", will meet fault " + fault));
-        world.notifyRules(releaseCall -> releaseCall.headSent(attempt, announcedTimeout));
+        world.notifyRules(rule -> rule.headSent(attempt, announcedTimeout));
         if (fault == ModelServer.Fault.RESET_BEFORE_LAST_BYTE && attemptCall.holdLastByte()) {
             link.resetByServer();
         }
--- a/src/test/java/copperbeam/model/ModelServer.java
+++ b/src/test/java/copperbeam/model/ModelServer.java
@@ -35,8 +35,8 @@
     final Api.Role role;
     final double tokensPerSecond; // prompt tokens read per second when warm
     final int streamSlots; // streams at a time
-    final int maxQueued; // longest queue in requests, at readers in prompts of mean length; the server refuses further
-    // requests
+    // longest queue in requests, at readers in prompts of mean length; the server refuses further requests
+    final int maxQueued;
     final long meanEventInterval; // mean time between the events of a stream, in nanoseconds, when warm
     final Set<Integer> partitionedFrom = new HashSet<>(); // indexes of the processes that can't reach this server
 
--- a/src/test/java/copperbeam/model/ModelTest.java
+++ b/src/test/java/copperbeam/model/ModelTest.java
@@ -16,8 +16,9 @@
 import org.testng.annotations.Test;
 
 /**
- * Runs the router without its sockets in randomly drawn {@link ScriptRun}s in virtual time, and checks rules that were written
- * from the specification alone. {@code -Dmodel.worlds=10000} sets the number of worlds, {@code -Dmodel.startNanos=7} the first seed.
+ * Runs the router without its sockets in randomly drawn {@link World}s in virtual time, and checks rules that were
+ * written from the specification alone. {@code -Dmodel.worlds=10000} sets the number of worlds,
+ * {@code -Dmodel.from=7} the first seed.
  */
 public class ModelTest {
     private static final int WORLD_COUNT = Integer.getInteger("model.worlds", 200);
--- a/src/test/java/copperbeam/model/ReferencePolicy.java
+++ b/src/test/java/copperbeam/model/ReferencePolicy.java
@@ -59,8 +59,8 @@
 
         private Optional<ModelServer> chooseServer() {
             Api.Settings settings = world.settings.moduleSettings();
-            boolean lastAttempt = attemptCount + 1 >= settings.limits().maxAttempts();
-            boolean mustAnswer = hasReadState || lastAttempt;
+            boolean isLastAttempt = attemptCount + 1 >= settings.limits().maxAttempts();
+            boolean mustAnswer = hasReadState || isLastAttempt;
             return world.listedServers().stream()
                     .filter(s -> s.state == Api.ServerState.READY && s.isReachableFrom(process) && !s.isHung())
                     .filter(s -> s.faultChance < 1 || world.random.nextInt(4) == 0)
--- a/src/test/java/copperbeam/protocol/ParsersTest.java
+++ b/src/test/java/copperbeam/protocol/ParsersTest.java
@@ -45,9 +45,9 @@
     @Test(dataProvider = "timeouts")
     public void timeout(String value, Duration expected) throws Exception {
         if (expected == null) {
-            assertThrows(BadRequest.class, () -> PlatformHeaders.timeout(value));
+            assertThrows(BadRequest.class, () -> PlatformHeaders.parseTimeout(value));
         } else {
-            assertEquals(PlatformHeaders.timeout(value), expected);
+            assertEquals(PlatformHeaders.parseTimeout(value), expected);
         }
     }
 
--- a/src/test/java/copperbeam/record/RecorderTest.java
+++ b/src/test/java/copperbeam/record/RecorderTest.java
@@ -86,7 +86,7 @@
 
     /** The file format has the same event types as the interface, in the same order. */
     @Test
-    public void theFormatHasTheInterfacesNames() {
+    public void theFileFormatHasTheSameEventTypes() {
         for (Recorder.EventType type : Recorder.EventType.values()) {
             assertEquals(What.forNumber(type.ordinal() + 1).name(), type.name());
         }
--- a/src/test/java/copperbeam/routing/FinalAnswerTest.java
+++ b/src/test/java/copperbeam/routing/FinalAnswerTest.java
@@ -108,7 +108,7 @@
 
     /** The actor fails to start an attempt that the module has asked for, so that no outcome ever comes. */
     @Test
-    public void aRequestWhoseAttemptFailsHereIsAnsweredByItsTime() throws Exception {
+    public void aRequestWhoseAttemptCannotStartIsAnsweredByItsDeadline() throws Exception {
         listServer(Map.of()); // the module knows a server that has no peer
         Client client = new Client(false);
         module.submit(newRequest("a", TIMEOUT), client);
--- a/src/test/java/copperbeam/routing/HeldStateTest.java
+++ b/src/test/java/copperbeam/routing/HeldStateTest.java
@@ -73,17 +73,17 @@
 
     private enum End {
         NONE,
-        LEFT,
-        STOP
+        CLIENT_LEAVES,
+        PROCESS_STOPS
     }
 
     /** Delays in the process, as under CPU starvation or a burst of requests. */
     private enum Slowness {
         NONE(0, 0),
-        BUSY(300, 0),
-        BUSIER(450, 0),
-        BUSY_AT_HALF(150, 0),
-        BUSIER_AT_HALF(250, 0),
+        MODULE_DELAY_300_MS(300, 0),
+        MODULE_DELAY_450_MS(450, 0),
+        MODULE_DELAY_150_MS(150, 0),
+        MODULE_DELAY_250_MS(250, 0),
         LATE_TIMERS(0, 150);
 
         final Duration moduleDelay;
@@ -405,12 +405,12 @@
 
     /** The actors of one process whose list has all servers. */
     private record Conductor(ModuleActor module, ReleaseActor releases, Map<String, PeerActor> peers) {
-        static Conductor start(World world, double releaseS, Api.Repeats effect, boolean probing) {
+        static Conductor start(World world, double releaseS, Api.Repeats repeats, boolean probing) {
             Metrics metrics = new Metrics(List.of("c"));
             Api.Settings settings = new Api.Settings(
                     1,
                     0,
-                    List.of(new Api.RequestClass("c", 1.5, 0, 3, effect, Api.DedupScope.ALL, 9)),
+                    List.of(new Api.RequestClass("c", 1.5, 0, 3, repeats, Api.DedupScope.ALL, 9)),
                     List.of(),
                     List.of(new Api.ServerKind("r", Role.READER, 1e6), new Api.ServerKind("w", Role.WRITER, 1e6)),
                     new Api.Limits(4, true, probing, 1),
@@ -468,7 +468,7 @@
 
     private static String runCase(
             double releaseS,
-            Api.Repeats effect,
+            Api.Repeats repeats,
             Slowness slowness,
             End end,
             Duration endAt,
@@ -478,16 +478,16 @@
         World world = new World(behaviours, readerCount, releaseS, slowness);
         boolean[] clientGone = {false};
         ResponseSink response = newResponse(clientGone);
-        Conductor conductor = Conductor.start(world, releaseS, effect, true);
+        Conductor conductor = Conductor.start(world, releaseS, repeats, true);
         ModuleActor module = conductor.module;
         ReleaseActor releases = conductor.releases;
         module.submit(newRequest(REQUEST_ID, Duration.ZERO), response);
-        if (end == End.LEFT) {
+        if (end == End.CLIENT_LEAVES) {
             world.schedule(endAt, () -> {
                 clientGone[0] = true;
                 module.clientGone(response);
             });
-        } else if (end == End.STOP) {
+        } else if (end == End.PROCESS_STOPS) {
             world.schedule(endAt, () -> {
                 module.tell(new ModuleActor.ExpireOpenRequests());
                 module.tell(new ModuleActor.Drain(() -> releases.tell(new ReleaseActor.Drain(() -> {
@@ -501,7 +501,7 @@
         Duration latestStop = !world.attemptSent
                 ? endAt.plusSeconds(1)
                 : CLIENT_WAIT.plus(ModuleTime.duration(2 * releaseS)).plus(SLACK);
-        if (end == End.STOP && world.fault == null && world.processEndedAt.compareTo(latestStop) > 0) {
+        if (end == End.PROCESS_STOPS && world.fault == null && world.processEndedAt.compareTo(latestStop) > 0) {
             return "the shutdown ends late, at " + world.processEndedAt;
         }
         return world.fault;
@@ -545,10 +545,10 @@
             {1.0, Api.Repeats.SAFE, 0, Slowness.NONE},
             {0.5, Api.Repeats.UNSAFE, 0, Slowness.NONE},
             {0.5, Api.Repeats.SAFE, 6, Slowness.NONE},
-            {1.0, Api.Repeats.SAFE, 6, Slowness.BUSY},
-            {1.0, Api.Repeats.SAFE, 0, Slowness.BUSIER},
-            {0.5, Api.Repeats.SAFE, 0, Slowness.BUSY_AT_HALF},
-            {0.5, Api.Repeats.SAFE, 0, Slowness.BUSIER_AT_HALF},
+            {1.0, Api.Repeats.SAFE, 6, Slowness.MODULE_DELAY_300_MS},
+            {1.0, Api.Repeats.SAFE, 0, Slowness.MODULE_DELAY_450_MS},
+            {0.5, Api.Repeats.SAFE, 0, Slowness.MODULE_DELAY_150_MS},
+            {0.5, Api.Repeats.SAFE, 0, Slowness.MODULE_DELAY_250_MS},
             {1.0, Api.Repeats.SAFE, 0, Slowness.LATE_TIMERS},
             {0.5, Api.Repeats.SAFE, 0, Slowness.LATE_TIMERS}
         };
@@ -559,8 +559,8 @@
      * leaves or the process shuts down.
      */
     @Test(dataProvider = "settings")
-    public void whatIsHeldIsLetGoInTime(double releaseS, Api.Repeats effect, int unreachableServers, Slowness slowness)
-            throws Exception {
+    public void heldReadStatesAreReleasedInTime(
+            double releaseS, Api.Repeats repeats, int unreachableServers, Slowness slowness) throws Exception {
         List<String> faults = new ArrayList<>();
         Map<Behaviour, Integer> faultsByBehaviour = new TreeMap<>();
         int cases = 0;
@@ -580,9 +580,9 @@
                 continue;
             }
             for (int endCase = 0; endCase <= (slowness == Slowness.NONE ? 2 * ENDS_MS.length : 0); endCase++) {
-                End end = endCase == 0 ? End.NONE : endCase % 2 == 0 ? End.LEFT : End.STOP;
+                End end = endCase == 0 ? End.NONE : endCase % 2 == 0 ? End.CLIENT_LEAVES : End.PROCESS_STOPS;
                 Duration endAt = Duration.ofMillis(endCase == 0 ? 0 : ENDS_MS[(endCase - 1) / 2]);
-                String fault = runCase(releaseS, effect, slowness, end, endAt, 2, behaviours);
+                String fault = runCase(releaseS, repeats, slowness, end, endAt, 2, behaviours);
                 cases++;
                 if (fault != null) {
                     faults.add(List.of(behaviours) + " " + end + " " + endAt + ": " + fault);
--- a/src/test/java/copperbeam/routing/RequestRulesTest.java
+++ b/src/test/java/copperbeam/routing/RequestRulesTest.java
@@ -15,14 +15,15 @@
     private static final Instant START = Instant.EPOCH;
     private static final Instant DEADLINE = START.plusSeconds(5);
 
-    private static RequestRules rules(Repeats effect, boolean resumed) {
+    private static RequestRules rules(Repeats repeats, boolean resumed) {
         return new RequestRules(
-                new Api.RequestClass("c", 1, 0, 1, effect, Api.DedupScope.ZONE, 2), 4, DEADLINE, resumed);
+                new Api.RequestClass("c", 1, 0, 1, repeats, Api.DedupScope.ZONE, 2), 4, DEADLINE, resumed);
     }
 
     /**
-     * Effect of the class, outcome of a first write and whether it had a connection; then the expected broken rules of another
-     * write one second and three seconds after the first, and of a refusal. The class's repeat window is two seconds.
+     * How the class's requests may be repeated, the outcome of a first write and whether it had a connection; then the
+     * rules that another write one second later, one three seconds later and a refusal would break. The class's repeat
+     * window is two seconds.
      */
     @DataProvider
     public Object[][] ends() {
@@ -44,13 +45,13 @@
 
     @Test(dataProvider = "ends")
     public void whatMayHaveRunIsNotRepeated(
-            Repeats effect,
+            Repeats repeats,
             Outcome outcome,
             boolean connected,
             Rule writeRuleAfterOneSecond,
             Rule writeRuleAfterThreeSeconds,
             Rule refusalRule) {
-        RequestRules rules = rules(effect, false);
+        RequestRules rules = rules(repeats, false);
         rules.attemptBegan(false, START);
         rules.attemptEnded(Outcome.READ, true);
         rules.attemptBegan(true, START);
--- a/src/test/java/copperbeam/simhost/SimHostTest.java
+++ b/src/test/java/copperbeam/simhost/SimHostTest.java
@@ -42,10 +42,10 @@
                 """));
         String[] lines = out.toString(StandardCharsets.UTF_8).split("\n");
         assertEquals("{\"eor\":{\"frame\":1}}", lines[0]);
-        String sends = out.toString(StandardCharsets.UTF_8);
+        String output = out.toString(StandardCharsets.UTF_8);
         assertTrue(
-                sends.contains("{\"attempt\":{\"i\":3,\"call\":4503599627370495,\"engine\":\"x:1\",\"try_until_s\":"));
-        assertTrue(sends.indexOf("\"engine\":\"y:1\"") > sends.indexOf("{\"eor\":{\"frame\":2}}"));
+                output.contains("{\"attempt\":{\"i\":3,\"call\":4503599627370495,\"engine\":\"x:1\",\"try_until_s\":"));
+        assertTrue(output.indexOf("\"engine\":\"y:1\"") > output.indexOf("{\"eor\":{\"frame\":2}}"));
         assertEquals("{\"eor\":{\"frame\":3}}", lines[lines.length - 1]);
         assertEquals("", err.toString(StandardCharsets.UTF_8));
     }
--- a/src/test/java/copperbeam/soak/ClockStepTest.java
+++ b/src/test/java/copperbeam/soak/ClockStepTest.java
@@ -90,18 +90,20 @@
             long addedAt = System.nanoTime();
             ServerStandIn cold = site.addServer(Role.WRITER, site.wallClockMs());
             Thread.sleep(600);
-            long atCold = attemptCount(site, cold, addedAt);
-            long atWarm = attemptCount(site, warm, addedAt);
+            long attemptsAtColdServer = attemptCount(site, cold, addedAt);
+            long attemptsAtWarmServer = attemptCount(site, warm, addedAt);
             Thread.sleep(2500);
             long warmSince = System.nanoTime();
             Thread.sleep(1000);
             finished.set(true);
-            assertTrue(served.get() > 0 && atWarm > 0, "there is load");
-            assertTrue(atCold * 3 < atWarm, atCold + " at the cold server, " + atWarm + " at a warm one");
-            long atWarmed = attemptCount(site, cold, warmSince);
+            assertTrue(served.get() > 0 && attemptsAtWarmServer > 0, "there is load");
             assertTrue(
-                    atWarmed * 3 > attemptCount(site, warm, warmSince),
-                    atWarmed + " once it is warm, " + attemptCount(site, warm, warmSince));
+                    attemptsAtColdServer * 3 < attemptsAtWarmServer,
+                    attemptsAtColdServer + " at the cold server, " + attemptsAtWarmServer + " at a warm one");
+            long attemptsOnceWarm = attemptCount(site, cold, warmSince);
+            assertTrue(
+                    attemptsOnceWarm * 3 > attemptCount(site, warm, warmSince),
+                    attemptsOnceWarm + " once it is warm, " + attemptCount(site, warm, warmSince));
         }
     }
 
@@ -125,8 +127,8 @@
         try (SoakSite site = startSite(false)) {
             ConductorProcess conductor = site.conductors.get(0);
             site.stepClock(Duration.ofSeconds(seconds));
-            FaultProxy cut = site.proxy(conductor, "s-1"); // the only reader, so that each request tries it
-            cut.setMode(FaultProxy.Mode.SILENT);
+            FaultProxy cutOffProxy = site.proxy(conductor, "s-1"); // the only reader, so that each request tries it
+            cutOffProxy.setMode(FaultProxy.Mode.SILENT);
             AtomicBoolean finished = new AtomicBoolean();
             for (int i = 0; i < CLIENTS; i++) {
                 Daemon.start("client", () -> sendUntil(conductor, finished, new AtomicInteger()));
@@ -134,10 +136,11 @@
             Thread.sleep(3000); // of load on the unreachable server
             finished.set(true);
             Thread.sleep(1500); // the longest time that the last request may take
-            long left = synSentCount(cut.address().getPort());
+            long pendingConnects = synSentCount(cutOffProxy.address().getPort());
             assertTrue(
-                    left <= 2,
-                    left + " connection attempts are left"); // including the proxy's own one, which fills its queue
+                    pendingConnects <= 2,
+                    pendingConnects
+                            + " connection attempts are left"); // including the proxy's own one, which fills its queue
         }
     }
 
--- a/src/test/java/copperbeam/soak/SoakTest.java
+++ b/src/test/java/copperbeam/soak/SoakTest.java
@@ -30,7 +30,7 @@
     }
 
     @Test(dataProvider = "plants")
-    public void aPlantedFaultIsFound(Defect defect, Rule rule) throws Exception {
+    public void aDeliberateDefectIsFound(Defect defect, Rule rule) throws Exception {
         SoakRun.Size size = new SoakRun.Size(2, 12, 2, 2, LENGTH_MS, defect);
         try (SoakRun run = new SoakRun(DEFECT_SEED, size, Files.createTempDirectory("soak"))) {
             List<Violation> violations = run.execute();
--- a/src/test/java/copperbeam/soak/StartTest.java
+++ b/src/test/java/copperbeam/soak/StartTest.java
@@ -19,8 +19,8 @@
     private static final int EMFILE = 24;
     private static final int ENFILE = 23;
     private static final int END_TIMEOUT_MS = 20_000;
-    private static final int MAX_LOG_LINES = 60; // that the log may grow by
-    private static final long STOP_DEADLINE_MS = 1500; // by which the kill comes 2.2 s after SIGTERM
+    private static final int MAX_LOG_LINES = 60; // by which the log may grow
+    private static final long STOP_DEADLINE_MS = 1500; // longest request deadline: the kill comes 2.2 s after SIGTERM
     private static final int REQUEST_DEADLINE_MS =
             900; // request deadline, within the stop, so that releases are due until its end
     private static final int TRANSIT_MS = 100; // time for the request to reach the conductor before SIGTERM
@@ -80,7 +80,7 @@
      * that it makes then for the lifetime of the process.
      */
     @Test
-    public void aSocketThatFailsOnceAtTheStartIsOutlived() throws Exception {
+    public void oneFailedSocketCallAtTheStartPreventsNoService() throws Exception {
         for (int sparedCalls = 0; sparedCalls < 4; sparedCalls++) {
             try (SoakSite site = newSite(true)) {
                 ConductorProcess conductor = site.conductors.get(0);
@@ -159,7 +159,8 @@
                 ConductorProcess.signal(conductor.process(), "TERM");
                 boolean ended = ConductorProcess.awaitEnd(conductor.process(), settings.killMs());
                 String log = Files.readString(conductor.log());
-                assertTrue(log.contains("servers have not let go of all yet"), "it waited for releases: " + log);
+                assertTrue(
+                        log.contains("servers have not confirmed all releases yet"), "it waited for releases: " + log);
                 assertTrue(ended, "still there at the kill: " + log);
                 assertEquals(conductor.process().exitValue(), 0);
             }
--- a/src/test/java/copperbeam/soak/UnconfirmedSendTest.java
+++ b/src/test/java/copperbeam/soak/UnconfirmedSendTest.java
@@ -68,9 +68,9 @@
         }
     }
 
-    private static void setWritersSilent(SoakSite site, Silence how, boolean silent) throws IOException {
+    private static void setWritersSilent(SoakSite site, Silence silence, boolean silent) throws IOException {
         for (ServerStandIn server : site.servers.values()) {
-            if (server.role == Role.WRITER && how == Silence.READS_NOTHING) {
+            if (server.role == Role.WRITER && silence == Silence.READS_NOTHING) {
                 server.behavior = silent ? Behavior.READS_NOTHING : Behavior.HEALTHY;
             } else if (server.role == Role.WRITER) {
                 for (FaultProxy proxy : site.proxiesOf(server)) {
@@ -86,7 +86,7 @@
 
     @Test(dataProvider = "silences")
     public void aReadStateIsReleasedThoughWritersAreUnresponsive(
-            Silence how, RequestKind kind, long releaseMs, boolean probes, boolean cancel) throws Exception {
+            Silence silence, RequestKind kind, long releaseMs, boolean probes, boolean cancel) throws Exception {
         SoakSettings settings = new SoakSettings(1, LONGEST_DEADLINE_MS, releaseMs, true, cancel, probes, false);
         try (SoakSite site = new SoakSite(new Random(1), null);
                 Lateness lateness = Lateness.start()) {
@@ -100,9 +100,9 @@
                     site, RequestKind.SAFE, CLIENTS_BEFORE, "before"); // leaves kept connections to the writers
             long heldBefore = countObservations(site, Observation.StateHeld.class);
             assertTrue(heldBefore >= CLIENTS_BEFORE, "reads: " + heldBefore);
-            setWritersSilent(site, how, true);
+            setWritersSilent(site, silence, true);
             sendRequestsAtOnce(site, kind, CLIENTS, "silent");
-            setWritersSilent(site, how, false);
+            setWritersSilent(site, silence, false);
             assertEquals(
                     countObservations(site, Observation.Answered.class), CLIENTS_BEFORE + CLIENTS, "final answers");
             assertTrue(countObservations(site, Observation.StateHeld.class) >= heldBefore + CLIENTS, "completed reads");
--- a/src/test/java/copperbeam/sockets/AttemptTimeTest.java
+++ b/src/test/java/copperbeam/sockets/AttemptTimeTest.java
@@ -1,7 +1,7 @@
 package copperbeam.sockets;
 
-import static copperbeam.sockets.Site.attempts;
 import static copperbeam.sockets.Site.await;
+import static copperbeam.sockets.Site.forAttempts;
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
@@ -60,7 +60,7 @@
             AtomicReference<String> timeoutHeader = new AtomicReference<>();
             AtomicBoolean firstFailed = new AtomicBoolean();
             StandIn reader = new StandIn(
-                    attempts((request, connection) -> {
+                    forAttempts((request, connection) -> {
                         attemptReceived.countDown();
                         if (!connectsLate && firstFailed.compareAndSet(false, true)) {
                             Thread.sleep(WAIT_MS);
@@ -242,7 +242,7 @@
             CountDownLatch allowFailure = new CountDownLatch(1);
             AtomicLong firstAttemptNs = new AtomicLong();
             StandIn reader = new StandIn(Site::answerAsReader);
-            StandIn failingWriter = new StandIn(attempts((request, connection) -> {
+            StandIn failingWriter = new StandIn(forAttempts((request, connection) -> {
                 firstAttemptNs.set(System.nanoTime());
                 attemptReceived.countDown();
                 allowFailure.await();
