--- a/src/test/java/copperbeam/sockets/BadClientsTest.java
+++ b/src/test/java/copperbeam/sockets/BadClientsTest.java
@@ -1,8 +1,8 @@
 package copperbeam.sockets;
 
-import static copperbeam.sockets.Site.attempts;
 import static copperbeam.sockets.Site.await;
 import static copperbeam.sockets.Site.chatRequest;
+import static copperbeam.sockets.Site.forAttempts;
 import static copperbeam.sockets.Site.request;
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertNull;
@@ -86,7 +86,7 @@
             }
             assertTrue(client.awaitClosed());
             assertTrue(System.nanoTime() - startNs < (status < 0 ? 3_000_000_000L : 1_500_000_000L));
-            assertEquals(site.attempts(site.readers), 0);
+            assertEquals(site.countAttempts(site.readers), 0);
             assertEquals(site.get("/healthz").status(), 200);
         }
     }
@@ -110,9 +110,9 @@
         };
     }
 
-    /** Platform headers that contradict each other, or a request id that would denote another one in the path of a release. */
+    /** Platform headers that are missing, repeated or invalid, such as a request id that alters a release's path. */
     @Test(dataProvider = "untrue")
-    public void headersThatCantBeTrueAreAnError(String good, String bad) throws Exception {
+    public void invalidHeadersAreRejected(String good, String bad) throws Exception {
         try (Site site = new Site(1, 1);
                 RawConnection client = site.client()) {
             assertEquals(
@@ -120,7 +120,7 @@
                             .read()
                             .status(),
                     400);
-            assertEquals(site.attempts(site.readers), 0);
+            assertEquals(site.countAttempts(site.readers), 0);
         }
     }
 
@@ -150,13 +150,13 @@
         try (Site site = new Site(1, 1);
                 RawConnection first = site.client();
                 RawConnection second = site.client()) {
-            site.writers.get(0).script = attempts((message, connection) -> {
+            site.writers.get(0).script = forAttempts((message, connection) -> {
                 unblock.await();
                 Site.answerAsWriter(message, connection);
             });
             String text = request("same", "send", "5000m", "", "{}");
             first.send(text);
-            await("written", () -> site.attempts(site.writers) == 1);
+            await("written", () -> site.countAttempts(site.writers) == 1);
             assertEquals(second.send(text).read().status(), 409);
             unblock.countDown();
             assertEquals(first.read().text(), Site.EVENTS);
@@ -172,7 +172,7 @@
         try (Site site = new Site(1, 1);
                 RawConnection flood = site.client();
                 RawConnection good = site.client()) {
-            site.readers.get(0).script = attempts((message, connection) -> {
+            site.readers.get(0).script = forAttempts((message, connection) -> {
                 if (!message.header("X-Request-ID").equals("good")) {
                     unblock.await();
                 }
@@ -183,10 +183,10 @@
                 pipelined.append(request("f" + i, "ask", "5000m", "", "{}"));
             }
             flood.send(pipelined.toString());
-            await("eight requests are read", () -> site.attempts(site.readers) == 8);
+            await("eight requests are read", () -> site.countAttempts(site.readers) == 8);
             assertEquals(
                     good.send(request("good", "ask", "5000m", "", "{}")).read().status(), 200);
-            assertEquals(site.attempts(site.readers), 9);
+            assertEquals(site.countAttempts(site.readers), 9);
             unblock.countDown();
             for (int i = 0; i < 8; i++) {
                 assertEquals(flood.read().status(), 200);
@@ -310,14 +310,14 @@
     @Test(dataProvider = "turnedAway")
     public void aRejectedClientMayGoOnWriting(String text, int status, CloseCause cause) throws Exception {
         ManualClock clock = new ManualClock();
-        ClientConnections room = new ClientConnections(10, 1000);
+        ClientConnections clientConnections = new ClientConnections(10, 1000);
         try (HttpFrontServer server = new HttpFrontServer(
                 (call, reply) -> {
                     reply.respond(200, "text/plain", Map.of(), new byte[0]);
                     return () -> {};
                 },
                 clock,
-                room,
+                clientConnections,
                 (c, s) -> {})) {
             InetSocketAddress address = server.listen(new InetSocketAddress("127.0.0.1", 0), false);
             try (RawConnection client = new RawConnection(address);
@@ -339,18 +339,18 @@
                             200); // the reactor has completed a pass
                     assertNull(client.readHead());
                 }
-                assertEquals(room.size(), 2);
+                assertEquals(clientConnections.size(), 2);
                 await("a stop does not wait for the rejected connection", () -> !server.isBusy());
                 if (cause == CloseCause.TIMEOUT) {
                     clock.now = clock.now.plusSeconds(1);
                 } else if (cause == CloseCause.DRAIN) {
                     server.setDraining(true);
                 } else if (cause == CloseCause.CROWDING) {
-                    room.setMaxBusy(0);
+                    clientConnections.setMaxBusy(0);
                 } else if (cause == CloseCause.BYTE_LIMIT) {
                     assertThrows(IOException.class, () -> client.send("x".repeat(64 << 20)));
                 }
-                await("closed", () -> room.size() == 1);
+                await("closed", () -> clientConnections.size() == 1);
                 await("its descriptor is closed by the reactor's next select", () -> isReset(client));
             }
         }
@@ -369,7 +369,7 @@
     @Test(dataProvider = "halves")
     public void aHalfRequestBehindAnOpenOneLeavesTheAnswerIntact(String behind) throws Exception {
         ManualClock clock = new ManualClock();
-        ClientConnections room = new ClientConnections(10, 1000);
+        ClientConnections clientConnections = new ClientConnections(10, 1000);
         AtomicReference<HttpReply> openReply = new AtomicReference<>();
         try (HttpFrontServer server = new HttpFrontServer(
                 (call, reply) -> {
@@ -381,7 +381,7 @@
                     return () -> {};
                 },
                 clock,
-                room,
+                clientConnections,
                 (c, status) -> {})) {
             InetSocketAddress address = server.listen(new InetSocketAddress("127.0.0.1", 0), false);
             try (RawConnection client = new RawConnection(address);
@@ -433,12 +433,12 @@
         CountDownLatch unblock = new CountDownLatch(1);
         try (Site site = new Site(1, 1);
                 RawConnection client = site.client()) {
-            site.writers.get(0).script = attempts((message, connection) -> {
+            site.writers.get(0).script = forAttempts((message, connection) -> {
                 unblock.await();
                 Site.answerAsWriter(message, connection);
             });
             client.send(request("send", 5000));
-            await("written", () -> site.attempts(site.writers) == 1);
+            await("written", () -> site.countAttempts(site.writers) == 1);
             client.send(behind);
             assertEquals(site.get("/healthz").status(), 200); // the reactor has completed a pass
             assertEquals(site.get("/healthz").status(), 200);
@@ -446,7 +446,7 @@
             assertEquals(client.read().text(), Site.EVENTS);
             assertEquals(client.read().status(), status);
             assertTrue(client.awaitClosed());
-            assertEquals(site.attempts(site.readers), 1);
+            assertEquals(site.countAttempts(site.readers), 1);
         }
     }
 
@@ -477,7 +477,7 @@
     @Test
     public void aRequestThatArrivesAtItsTimeoutIsServed() throws Exception {
         ManualClock clock = new ManualClock();
-        ClientConnections room = new ClientConnections(10, 1000);
+        ClientConnections clientConnections = new ClientConnections(10, 1000);
         CountDownLatch busy = new CountDownLatch(1);
         CountDownLatch unblock = new CountDownLatch(1);
         try (HttpFrontServer server = new HttpFrontServer(
@@ -494,12 +494,12 @@
                     return () -> {};
                 },
                 clock,
-                room,
+                clientConnections,
                 (c, status) -> {})) {
             InetSocketAddress address = server.listen(new InetSocketAddress("127.0.0.1", 0), false);
             try (RawConnection blocking = new RawConnection(address);
                     RawConnection silent = new RawConnection(address)) {
-                await("both connections are accepted", () -> room.size() == 2);
+                await("both connections are accepted", () -> clientConnections.size() == 2);
                 blocking.send("GET /holds HTTP/1.1\r\nHost: x\r\n\r\n");
                 busy.await();
                 silent.send("GET / HTTP/1.1\r\nHost: x\r\n\r\n");
@@ -533,7 +533,7 @@
     /** Guards the memory against many large requests that wait at the same time. */
     @Test
     public void waitingBodiesAreBounded() throws Exception {
-        ClientConnections room = new ClientConnections(10, 1000);
+        ClientConnections clientConnections = new ClientConnections(10, 1000);
         try (HttpFrontServer server = new HttpFrontServer(
                 (call, reply) -> {
                     if (call.body().length < 900) {
@@ -542,42 +542,44 @@
                     return () -> {};
                 },
                 Clock.systemUTC(),
-                room,
+                clientConnections,
                 (c, status) -> {})) {
             InetSocketAddress address = server.listen(new InetSocketAddress("127.0.0.1", 0), false);
             try (RawConnection second = new RawConnection(address)) {
                 try (RawConnection first = new RawConnection(address)) {
                     first.send(Site.postRequest("x".repeat(900)));
-                    await("the first body is counted", () -> room.bodyBytes() == 900);
+                    await("the first body is counted", () -> clientConnections.bodyBytes() == 900);
                     RawConnection.Message refused =
                             second.send(Site.postRequest("x".repeat(200))).read();
                     assertEquals(refused.status(), 503);
                     assertEquals(refused.header("Retry-After"), "1");
                     assertTrue(second.awaitClosed());
                 }
-                await("its bytes are freed", () -> room.bodyBytes() == 0);
+                await("its bytes are freed", () -> clientConnections.bodyBytes() == 0);
                 try (RawConnection third = new RawConnection(address)) {
                     assertEquals(
                             third.send(Site.postRequest("x".repeat(200))).read().status(), 200);
                 }
             }
-            await("all connections have left", () -> room.size() == 0 && room.bodyBytes() == 0);
+            await(
+                    "all connections have left",
+                    () -> clientConnections.size() == 0 && clientConnections.bodyBytes() == 0);
         }
     }
 
     /** HttpCore reports no end for a connection that was reset. Guards against counting such connections as open forever. */
     @Test
     public void resetClientsTakeNoRoom() throws Exception {
-        ClientConnections room = new ClientConnections(500, 1 << 20);
-        try (HttpFrontServer server =
-                new HttpFrontServer((call, reply) -> () -> {}, Clock.systemUTC(), room, (c, status) -> {})) {
+        ClientConnections clientConnections = new ClientConnections(500, 1 << 20);
+        try (HttpFrontServer server = new HttpFrontServer(
+                (call, reply) -> () -> {}, Clock.systemUTC(), clientConnections, (c, status) -> {})) {
             InetSocketAddress address = server.listen(new InetSocketAddress("127.0.0.1", 0), false);
             for (int i = 0; i < 1000; i++) {
                 RawConnection client = new RawConnection(address);
                 client.send(i % 2 == 0 ? "GET / HTTP/1.1\r\nHost: x\r\n\r\n" : "GET / HTT");
                 client.reset();
             }
-            await("all have left", () -> room.size() == 0 && !server.isBusy());
+            await("all have left", () -> clientConnections.size() == 0 && !server.isBusy());
         }
     }
 
--- a/src/test/java/copperbeam/sockets/BadDiscoveryTest.java
+++ b/src/test/java/copperbeam/sockets/BadDiscoveryTest.java
@@ -382,9 +382,9 @@
      */
     @Test(dataProvider = "modes")
     public void connectsThatTimeOutDelayNoDrain(boolean pushed) throws Exception {
-        InetAddress here = InetAddress.getByName("127.0.0.1");
+        InetAddress loopback = InetAddress.getByName("127.0.0.1");
         List<Socket> queuedSockets = new ArrayList<>();
-        try (ServerSocket listener = new ServerSocket(0, 8, here);
+        try (ServerSocket listener = new ServerSocket(0, 8, loopback);
                 WatchFixture fixture = watchFullListener(listener, queuedSockets, pushed)) {
             await(
                     "the failed connect is logged",
--- a/src/test/java/copperbeam/sockets/ClientGoneTest.java
+++ b/src/test/java/copperbeam/sockets/ClientGoneTest.java
@@ -1,7 +1,7 @@
 package copperbeam.sockets;
 
-import static copperbeam.sockets.Site.attempts;
 import static copperbeam.sockets.Site.await;
+import static copperbeam.sockets.Site.forAttempts;
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
@@ -36,8 +36,7 @@
     private static final long MAX_NOTICE_NS =
             1_000_000_000L; // limit for noticing the close; shorter than every timeout
     // turns of the reactor: HttpCore reads a close in one turn and acts on it in the next, in which another
-    // connection's
-    // bytes may be handled first
+    // connection's bytes may be handled first
     private static final int REACTOR_TURNS = 2;
     private static final int PIPELINED_COUNT = 300;
     private static final String PIPELINED_REQUEST =
@@ -124,8 +123,7 @@
                     // bytes in the kernel's send buffer can be discarded only where the settings allow cancels
                     if (cancel || waitPoint != WaitPoint.FOR_ITS_BODY_TO_LEAVE) {
                         // the module doesn't know requests that are at a plug-in; instead the client stays open for
-                        // reading
-                        // and sees that the conductor closes the connection
+                        // reading and sees that the conductor closes the connection
                         rows.add(new Object[] {
                             chat,
                             waitPoint,
@@ -163,7 +161,7 @@
             CountDownLatch requestReceived = new CountDownLatch(1);
             CountDownLatch headsReceived =
                     new CountDownLatch(2); // received heads: the read's, and after its cancellation the release's
-            StandIn.Script blockedRead = attempts((request, connection) -> {
+            StandIn.Script blockedRead = forAttempts((request, connection) -> {
                 requestReceived.countDown();
                 unblockServers.await();
                 Site.answerAsReader(request, connection);
@@ -271,7 +269,7 @@
         CountDownLatch reactorBlocked = new CountDownLatch(1);
         CountDownLatch unblock = new CountDownLatch(1);
         List<String> handledPaths = new CopyOnWriteArrayList<>();
-        ClientConnections room = new ClientConnections(100, 1 << 20);
+        ClientConnections clientConnections = new ClientConnections(100, 1 << 20);
         try (HttpFrontServer server = new HttpFrontServer(
                 (call, reply) -> {
                     handledPaths.add(call.path());
@@ -286,7 +284,7 @@
                     return () -> {};
                 },
                 Clock.systemUTC(),
-                room,
+                clientConnections,
                 (c, status) -> {})) {
             InetSocketAddress address = server.listen(new InetSocketAddress("127.0.0.1", 0), false);
             try (RawConnection first = new RawConnection(address);
@@ -294,7 +292,7 @@
                     RawConnection last = new RawConnection(address)) {
                 RawConnection pipelined = new RawConnection(address);
                 RawConnection large = new RawConnection(address);
-                await("connected", () -> room.size() == 5);
+                await("connected", () -> clientConnections.size() == 5);
                 first.send("GET /first HTTP/1.1\r\nHost: x\r\n\r\n");
                 reactorBlocked.await();
                 halfClosed.send("GET /half HTTP/1.1\r\nHost: x\r\n\r\n").halfClose();
@@ -306,7 +304,7 @@
                 last.send("GET /last HTTP/1.1\r\nHost: x\r\n\r\n");
                 unblock.countDown();
                 await("the last request is handled", () -> handledPaths.contains("/last"));
-                await("the other connections are closed", () -> room.size() == 2);
+                await("the other connections are closed", () -> clientConnections.size() == 2);
                 assertEquals(handledPaths, List.of("/first", "/last"));
             }
         }
--- a/src/test/java/copperbeam/sockets/Conductor.java
+++ b/src/test/java/copperbeam/sockets/Conductor.java
@@ -236,7 +236,7 @@
             throw new AssertionError(
                     e.getMessage()
                             + (process.isAlive() ? ", and the process is alive: " : ", and the process has ended: ")
-                            + logged(),
+                            + readLog(),
                     e);
         }
         return this;
@@ -276,11 +276,11 @@
                 .sum();
     }
 
-    boolean logged(String text) {
-        return logged().contains(text);
+    boolean hasLogged(String text) {
+        return readLog().contains(text);
     }
 
-    private String logged() {
+    private String readLog() {
         try {
             return Files.readString(logFile);
         } catch (IOException e) {
--- a/src/test/java/copperbeam/sockets/ConnectTimeTest.java
+++ b/src/test/java/copperbeam/sockets/ConnectTimeTest.java
@@ -16,7 +16,7 @@
 import java.util.concurrent.TimeUnit;
 import org.testng.annotations.Test;
 
-/** A transport that reports a failed connect late or never delays nothing: the peer enforces the connect timeout itself. */
+/** The peer enforces the connect timeout itself, as a transport may report a failed connect late or not at all. */
 public class ConnectTimeTest {
     @Test
     public void aConnectEndsAtItsTimeout() throws Exception {
--- a/src/test/java/copperbeam/sockets/DelayedHeadTest.java
+++ b/src/test/java/copperbeam/sockets/DelayedHeadTest.java
@@ -42,7 +42,7 @@
         THE_SERVER_DRAINS,
         THE_SERVER_LEAVES,
         TIME_PASSES,
-        /** The list's update waits unread on the same reactor, so that the drain becomes known only after it goes on. */
+        /** The list's update waits unread on the blocked reactor: the drain becomes known only after the block. */
         TIME_PASSES_AND_IT_DRAINS
     }
 
--- a/src/test/java/copperbeam/sockets/EndTest.java
+++ b/src/test/java/copperbeam/sockets/EndTest.java
@@ -1,7 +1,7 @@
 package copperbeam.sockets;
 
-import static copperbeam.sockets.Site.attempts;
 import static copperbeam.sockets.Site.await;
+import static copperbeam.sockets.Site.forAttempts;
 import static copperbeam.sockets.Site.request;
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
@@ -35,7 +35,7 @@
         try (Site site = new Site(1, 1);
                 RawConnection client = site.client();
                 RawConnection idle = site.client()) {
-            site.writers.get(0).script = attempts((request, connection) -> {
+            site.writers.get(0).script = forAttempts((request, connection) -> {
                 connection.beginStream().sendChunk("data: 1\n\n");
                 unblock.await();
                 connection.sendLastChunk();
@@ -75,7 +75,7 @@
     public void aStreamIsCutBeforeAKillThatShortDeadlinesBringSooner() throws Exception {
         CountDownLatch never = new CountDownLatch(1);
         try (StandIn reader = new StandIn(Site::answerAsReader);
-                StandIn writer = new StandIn(attempts((request, connection) -> {
+                StandIn writer = new StandIn(forAttempts((request, connection) -> {
                     connection.beginStream().sendChunk("data: 1\n\n");
                     never.await();
                 }));
@@ -126,7 +126,7 @@
                         Duration.ofMillis(250));
                 RawConnection client = site.client();
                 RawConnection idle = site.client()) {
-            site.writers.get(0).script = attempts((request, connection) -> {
+            site.writers.get(0).script = forAttempts((request, connection) -> {
                 connection.beginStream().sendChunk("data: 1\n\n");
                 unblock.await();
                 connection.sendLastChunk();
@@ -140,7 +140,7 @@
             assertEquals(client.readChunk(), "data: 1\n\n");
             assertNull(client.readChunk());
             assertEquals(client.read().status(), 429);
-            assertEquals(site.attempts(site.readers), 1);
+            assertEquals(site.countAttempts(site.readers), 1);
             stopThread.join(RawConnection.TIMEOUT_MS);
         }
     }
--- a/src/test/java/copperbeam/sockets/EtcdMembershipTest.java
+++ b/src/test/java/copperbeam/sockets/EtcdMembershipTest.java
@@ -72,10 +72,10 @@
                                 + base64(PREFIX + "s"
                                         + site.writers.get(0).address().getPort()) + "\"}}"));
                 await("deleted", () -> {
-                    long attemptsBefore = site.attempts(site.writers);
+                    long attemptsBefore = site.countAttempts(site.writers);
                     try (RawConnection client = site.client()) {
                         return client.send(request("ask", 300)).read().status() != 200
-                                && site.attempts(site.writers) == attemptsBefore;
+                                && site.countAttempts(site.writers) == attemptsBefore;
                     } catch (Exception e) {
                         throw new AssertionError(e);
                     }
--- a/src/test/java/copperbeam/sockets/EventProbe.java
+++ b/src/test/java/copperbeam/sockets/EventProbe.java
@@ -50,7 +50,7 @@
     private final List<Thread> threads = new ArrayList<>();
 
     private EventProbe() throws Exception {
-        site.writers.forEach(w -> w.script = Site.attempts(this::writeStream));
+        site.writers.forEach(w -> w.script = Site.forAttempts(this::writeStream));
     }
 
     public static void main(String[] args) throws Exception {
--- a/src/test/java/copperbeam/sockets/EventsTest.java
+++ b/src/test/java/copperbeam/sockets/EventsTest.java
@@ -1,7 +1,7 @@
 package copperbeam.sockets;
 
-import static copperbeam.sockets.Site.attempts;
 import static copperbeam.sockets.Site.chatRequest;
+import static copperbeam.sockets.Site.forAttempts;
 import static copperbeam.sockets.Site.request;
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
@@ -113,7 +113,7 @@
         Semaphore confirmed = new Semaphore(0);
         try (Site site = new Site(1, 1);
                 RawConnection client = chat ? site.chatClient() : site.client()) {
-            site.writers.get(0).script = attempts((request, connection) -> {
+            site.writers.get(0).script = forAttempts((request, connection) -> {
                 for (String write : writes) {
                     for (int i = 0; i < write.length(); i += byteByByte ? 1 : write.length()) {
                         connection.send(byteByByte ? write.substring(i, i + 1) : write);
@@ -150,19 +150,19 @@
         return write.contains("[DONE]") ? "[DONE]" : "";
     }
 
-    private enum Flood {
+    private enum Sender {
         SERVER,
         CLIENT
     }
 
     @DataProvider
     public Object[][] floods() {
-        return new Object[][] {{Flood.SERVER}, {Flood.CLIENT}};
+        return new Object[][] {{Sender.SERVER}, {Sender.CLIENT}};
     }
 
     /** A peer that sends without end, and is read as fast as it sends, doesn't starve other connections. */
     @Test(dataProvider = "floods")
-    public void aFloodDoesNotStarveOthers(Flood flood) throws Exception {
+    public void aFloodDoesNotStarveOthers(Sender sender) throws Exception {
         Semaphore confirmed = new Semaphore(0);
         Semaphore floodProgress = new Semaphore(0);
         AtomicBoolean floodStopped = new AtomicBoolean();
@@ -171,7 +171,7 @@
         try (Site site = new Site(1, 2);
                 RawConnection client = site.client();
                 RawConnection floodConnection = site.client()) {
-            site.writers.forEach(w -> w.script = attempts((request, connection) -> {
+            site.writers.forEach(w -> w.script = forAttempts((request, connection) -> {
                 connection.beginStream();
                 if (request.header("X-Priority-Class").equals("send")) {
                     for (int i = 0; !floodStopped.get(); i++) {
@@ -190,7 +190,7 @@
             assertTrue(client.readChunk().contains(marker(0)));
             Thread floodThread = new Thread(() -> {
                 try {
-                    if (flood == Flood.SERVER) {
+                    if (sender == Sender.SERVER) {
                         floodConnection.send(request("send", 1500)).readHead();
                         for (int i = 0; floodConnection.readChunk() != null; i++) {
                             floodProgress.release(i == 1000 ? 1 : 0);
@@ -217,33 +217,33 @@
             floodStopped.set(true);
             confirmed.release();
             assertTrue(client.readChunk().contains("[DONE]"));
-            assertTrue(
-                    flood == Flood.CLIENT || floodProgress.tryAcquire(RawConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS));
+            assertTrue(sender == Sender.CLIENT
+                    || floodProgress.tryAcquire(RawConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS));
             floodThread.join(RawConnection.TIMEOUT_MS);
         }
     }
 
     /** Guards against a stack overflow in recursive code that copies or writes deeply nested JSON. */
     @Test(dataProvider = "floods")
-    public void deeplyNestedJsonIsRejected(Flood sender) throws Exception {
-        int depth = sender == Flood.SERVER ? 12_000 : 50_000; // within the size limits of an event and of a request
+    public void deeplyNestedJsonIsRejected(Sender sender) throws Exception {
+        int depth = sender == Sender.SERVER ? 12_000 : 50_000; // within the size limits of an event and of a request
         String nestedField = "\"x\":" + "[".repeat(depth) + "]".repeat(depth);
         try (Site site = new Site(1, 1);
                 RawConnection badClient = site.chatClient()) {
             StandIn writer = site.writers.get(0);
             StandIn.Script normalScript = writer.script;
-            if (sender == Flood.SERVER) {
-                writer.script = attempts((request, connection) -> connection
+            if (sender == Sender.SERVER) {
+                writer.script = forAttempts((request, connection) -> connection
                         .beginStream()
                         .sendChunk(event(1))
                         .sendChunk("data: {\"choices\":[]," + nestedField + "}\n\n"));
             }
             badClient.send(
-                    chatRequest("m-ask", sender == Flood.SERVER, sender == Flood.CLIENT ? "," + nestedField : ""));
+                    chatRequest("m-ask", sender == Sender.SERVER, sender == Sender.CLIENT ? "," + nestedField : ""));
             long sentNs = System.nanoTime();
             RawConnection.Message answer = badClient.read();
-            assertEquals(answer.status(), sender == Flood.SERVER ? 200 : 400);
-            assertEquals(answer.complete(), sender == Flood.CLIENT);
+            assertEquals(answer.status(), sender == Sender.SERVER ? 200 : 400);
+            assertEquals(answer.complete(), sender == Sender.CLIENT);
             assertTrue(
                     System.nanoTime() - sentNs < 3_000_000_000L, "not ended at once, but by the 4 s limit for silence");
             writer.script = normalScript;
--- a/src/test/java/copperbeam/sockets/GeneratedSitesTest.java
+++ b/src/test/java/copperbeam/sockets/GeneratedSitesTest.java
@@ -105,12 +105,12 @@
 
             String originalConfig = Files.readString(conductor.folder.resolve("config.json"));
             conductor.signal("HUP");
-            Site.await("configuration reloaded", () -> conductor.logged("configuration read anew"));
+            Site.await("configuration reloaded", () -> conductor.hasLogged("configuration read anew"));
             conductor.replaceFile(
                     "{\"listen\":\"127.0.0.1:1\",\"discovery\":\"127.0.0.1:1\",\"settings\":{\"balancers\":0,"
                             + "\"services\":[{\"name\":\"x\",\"promise_s\":1,\"semantics\":\"safe\"}],\"limits\":{\"send_cap\":2}}}");
             conductor.signal("HUP");
-            Site.await("the faulty key is logged", () -> conductor.logged("settings.balancers: "));
+            Site.await("the faulty key is logged", () -> conductor.hasLogged("settings.balancers: "));
             conductor.replaceFile(originalConfig);
             fronts.checkPlatformFront(servers, drawn.classNames().get(0));
 
--- a/src/test/java/copperbeam/sockets/HeldBackTest.java
+++ b/src/test/java/copperbeam/sockets/HeldBackTest.java
@@ -282,36 +282,36 @@
      */
     @Test
     public void aResetBeforeTheLastByteCostsNothing() throws Exception {
-        try (RoutingFixture parts =
+        try (RoutingFixture fixture =
                 new RoutingFixture(connection -> connection % 2 == 0 ? WriterAction.RESET : WriterAction.SERVED)) {
             for (int i = 0; i < 3; i++) {
-                assertEquals(parts.send("id" + i), EVENTS);
+                assertEquals(fixture.send("id" + i), EVENTS);
             }
-            assertEquals(parts.writer.attempts(), 3);
-            assertEquals(parts.reader.attempts(), 3, "no attempt was used up");
-            assertEquals(parts.writerConnectionCount.get(), 6);
+            assertEquals(fixture.writer.attempts(), 3);
+            assertEquals(fixture.reader.attempts(), 3, "no attempt was used up");
+            assertEquals(fixture.writerConnectionCount.get(), 6);
         }
     }
 
     /** Three such resets in a row end the attempt, which has certainly not run: the module starts another one. */
     @Test
     public void threeResetsBeforeTheLastByteSpendOneAttempt() throws Exception {
-        try (RoutingFixture parts =
+        try (RoutingFixture fixture =
                 new RoutingFixture(connection -> connection < 3 ? WriterAction.RESET : WriterAction.SERVED)) {
-            assertEquals(parts.send("id"), EVENTS);
-            assertEquals(parts.writer.attempts(), 1);
-            assertEquals(parts.writerConnectionCount.get(), 4);
+            assertEquals(fixture.send("id"), EVENTS);
+            assertEquals(fixture.writer.attempts(), 1);
+            assertEquals(fixture.writerConnectionCount.get(), 4);
         }
     }
 
     /** Guards against a second run: a server that answers has begun to run the request, even without its last byte. */
     @Test
     public void anAnswerBeforeTheLastByteMayHaveRun() throws Exception {
-        try (RoutingFixture parts = new RoutingFixture(
+        try (RoutingFixture fixture = new RoutingFixture(
                 connection -> connection == 0 ? WriterAction.RESET_AFTER_EVENT : WriterAction.SERVED)) {
-            assertEquals(parts.send("id"), "data: 1\n\nbroken");
-            assertEquals(parts.writer.attempts(), 0);
-            assertEquals(parts.writerConnectionCount.get(), 1);
+            assertEquals(fixture.send("id"), "data: 1\n\nbroken");
+            assertEquals(fixture.writer.attempts(), 0);
+            assertEquals(fixture.writerConnectionCount.get(), 1);
         }
     }
 }
--- a/src/test/java/copperbeam/sockets/KnownListTest.java
+++ b/src/test/java/copperbeam/sockets/KnownListTest.java
@@ -161,7 +161,7 @@
                 Duration.ofMillis(250),
                 Duration.ofSeconds(30),
                 Config.Limits.DEFAULT,
-                new Config.Operator(null, null, null, List.of())));
+                new Config.OperatorSettings(null, null, null, List.of())));
     }
 
     private static String listJson(int version, boolean full, String... entries) {
--- a/src/test/java/copperbeam/sockets/LeavingServerTest.java
+++ b/src/test/java/copperbeam/sockets/LeavingServerTest.java
@@ -1,7 +1,7 @@
 package copperbeam.sockets;
 
-import static copperbeam.sockets.Site.attempts;
 import static copperbeam.sockets.Site.await;
+import static copperbeam.sockets.Site.forAttempts;
 import static copperbeam.sockets.Site.request;
 import static org.testng.Assert.assertEquals;
 
@@ -68,7 +68,7 @@
         CountDownLatch never = new CountDownLatch(1);
         try (Site site = site(
                         String.format(Site.SETTINGS_FORMAT, "30").replace("\"probing\":false", "\"probing\":true"));
-                StandIn silentReader = new StandIn(attempts((request, connection) -> never.await()));
+                StandIn silentReader = new StandIn(forAttempts((request, connection) -> never.await()));
                 StandIn otherReader = new StandIn(Site::answerAsReader);
                 StandIn writer = new StandIn(Site::answerAsWriter)) {
             changeList(
@@ -89,7 +89,7 @@
     public void aMovedServerGetsRequestsAtItsNewAddress() throws Exception {
         CountDownLatch moved = new CountDownLatch(1);
         try (Site site = site(String.format(Site.SETTINGS_FORMAT, "30"));
-                StandIn oldReader = new StandIn(attempts((request, connection) -> {
+                StandIn oldReader = new StandIn(forAttempts((request, connection) -> {
                     moved.await();
                     Site.answerAsReader(request, connection);
                 }));
--- a/src/test/java/copperbeam/sockets/LimitsTest.java
+++ b/src/test/java/copperbeam/sockets/LimitsTest.java
@@ -81,7 +81,7 @@
     @Test(dataProvider = "bursts")
     public void aBurstLeavesDescriptorsForAllElse(int limit, int clients, boolean atOnce) throws Exception {
         AtomicInteger readDelayMs = new AtomicInteger(1500);
-        StandIn.Script slowRead = Site.attempts((request, connection) -> {
+        StandIn.Script slowRead = Site.forAttempts((request, connection) -> {
             Thread.sleep(readDelayMs.get());
             Site.answerAsReader(request, connection);
         });
--- a/src/test/java/copperbeam/sockets/OpenAiFrontTest.java
+++ b/src/test/java/copperbeam/sockets/OpenAiFrontTest.java
@@ -1,8 +1,8 @@
 package copperbeam.sockets;
 
-import static copperbeam.sockets.Site.attempts;
 import static copperbeam.sockets.Site.await;
 import static copperbeam.sockets.Site.chatRequest;
+import static copperbeam.sockets.Site.forAttempts;
 import static copperbeam.sockets.Site.postRequest;
 import static copperbeam.sockets.Site.request;
 import static org.testng.Assert.assertEquals;
@@ -137,7 +137,7 @@
             assertEquals(error.get("type").getAsString(), "invalid_request_error");
             assertEquals(
                     error.get("param").isJsonNull() ? null : error.get("param").getAsString(), param);
-            assertEquals(site.attempts(site.readers), 0);
+            assertEquals(site.countAttempts(site.readers), 0);
         }
     }
 
@@ -145,7 +145,7 @@
     public void aTimeOutIs504AndARefusalCarriesRetryAfter() throws Exception {
         try (Site site = new Site(1, 1);
                 RawConnection client = site.chatClient()) {
-            site.writers.get(0).script = attempts((message, connection) -> {});
+            site.writers.get(0).script = forAttempts((message, connection) -> {});
             RawConnection.Message late =
                     client.send(chatRequest("m-send", true, "")).read();
             assertEquals(late.status(), 504);
@@ -156,7 +156,7 @@
                             .getAsString(),
                     "timeout");
             site.readers.get(0).script =
-                    attempts((message, connection) -> connection.respond(503, "", "X-Not-Processed: 1\r\n"));
+                    forAttempts((message, connection) -> connection.respond(503, "", "X-Not-Processed: 1\r\n"));
             RawConnection.Message refused =
                     client.send(chatRequest("m-send", true, "")).read();
             assertEquals(refused.status(), 503);
@@ -165,9 +165,9 @@
     }
 
     @Test
-    public void aClientThatLeavesBetweenTwoEventsOfASendEndsItOnce() throws Exception {
+    public void aStreamEndsWhenItsClientLeavesAndIsNotRetried() throws Exception {
         try (Site site = new Site(2, 2)) {
-            site.writers.forEach(writer -> writer.script = attempts((message, connection) -> connection
+            site.writers.forEach(writer -> writer.script = forAttempts((message, connection) -> connection
                     .beginStream()
                     .sendChunk("data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"a\"}}]}\n\n")));
             try (RawConnection client = site.chatClient()) {
@@ -185,7 +185,7 @@
                 assertEquals(
                         client.send(chatRequest("m-send", false, "")).read().status(), 200);
             }
-            assertEquals(site.attempts(site.writers), 2);
+            assertEquals(site.countAttempts(site.writers), 2);
         }
     }
 
@@ -193,7 +193,7 @@
     public void aMalformedEventEndsTheStreamAsBroken() throws Exception {
         try (Site site = new Site(1, 2);
                 RawConnection client = site.chatClient()) {
-            site.writers.forEach(writer -> writer.script = attempts((message, connection) -> connection
+            site.writers.forEach(writer -> writer.script = forAttempts((message, connection) -> connection
                     .beginStream()
                     .sendChunk("data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"a\"}}]}\n\n")
                     .sendChunk("data: {\"choices\":[{\n\n")));
@@ -208,7 +208,7 @@
                             .get("code")
                             .getAsString(),
                     "stream_broken");
-            assertEquals(site.attempts(site.writers), 1);
+            assertEquals(site.countAttempts(site.writers), 1);
         }
     }
 
@@ -226,7 +226,7 @@
             Set<Integer> failed = ConcurrentHashMap.newKeySet();
             try (Site site =
                     new Site(2, 2, 30, null, List.of(), Config.Limits.DEFAULT, settings, Duration.ofSeconds(2))) {
-                site.writers.forEach(writer -> writer.script = attempts((message, connection) -> {
+                site.writers.forEach(writer -> writer.script = forAttempts((message, connection) -> {
                     int i = requestIndex.get();
                     if (i % 5 == 4 && failed.add(i)) {
                         connection.reset();
--- a/src/test/java/copperbeam/sockets/OperatorsTest.java
+++ b/src/test/java/copperbeam/sockets/OperatorsTest.java
@@ -1,7 +1,7 @@
 package copperbeam.sockets;
 
-import static copperbeam.sockets.Site.attempts;
 import static copperbeam.sockets.Site.await;
+import static copperbeam.sockets.Site.forAttempts;
 import static copperbeam.sockets.Site.request;
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
@@ -145,7 +145,7 @@
                 RawConnection busy = site.client();
                 RawConnection next = site.client()) {
             CountDownLatch unblock = new CountDownLatch(1);
-            site.writers.get(0).script = attempts((request, connection) -> {
+            site.writers.get(0).script = forAttempts((request, connection) -> {
                 connection.beginStream().sendChunk("data: 1\n\n");
                 unblock.await();
                 connection.sendChunk(Site.EVENTS).sendLastChunk();
@@ -186,10 +186,10 @@
             StandIn writer = site.writers.get(0);
             StandIn.Script[] scripts = {
                 Site::answerAsWriter,
-                attempts((request, connection) -> connection.reset()),
-                attempts((request, connection) -> connection.respond(500, "")),
+                forAttempts((request, connection) -> connection.reset()),
+                forAttempts((request, connection) -> connection.respond(500, "")),
                 Site::answerAsWriter,
-                attempts((request, connection) -> connection.respond(503, "", "X-Not-Processed: 1\r\n"))
+                forAttempts((request, connection) -> connection.respond(503, "", "X-Not-Processed: 1\r\n"))
             };
             for (int i = 0; i < 15; i++) {
                 writer.script = scripts[i % scripts.length];
@@ -211,17 +211,17 @@
                             .sum(),
                     15,
                     reported.toString());
-            assertEquals((long) reported.get("sends"), site.attempts(site.readers) + site.attempts(site.writers));
+            assertEquals(
+                    (long) reported.get("sends"), site.countAttempts(site.readers) + site.countAttempts(site.writers));
             assertEquals((long) reported.get("current"), 0);
             await("the list is counted", () -> metrics(site.node.adminAddress()).get("cluster_size") == 2);
             CountDownLatch unblock = new CountDownLatch(1);
-            writer.script = attempts((request, connection) -> {
+            writer.script = forAttempts((request, connection) -> {
                 unblock.await();
                 Site.answerAsWriter(request, connection);
             });
             // opened only now: a connection that sends nothing for 2.4 s is closed, and on a busy core the part above
-            // takes
-            // longer
+            // takes longer
             try (RawConnection client = site.client()) {
                 client.send(request("ask", 4000));
                 await("one is open", () -> metrics(site.node.adminAddress()).get("current") == 1);
--- a/src/test/java/copperbeam/sockets/OtherSitesTest.java
+++ b/src/test/java/copperbeam/sockets/OtherSitesTest.java
@@ -80,7 +80,7 @@
             site.writers.forEach(server -> server.script = delayedExceptAttempts(
                     (request, connection) -> connection.read())); // reads until the connection ends, without an answer
             client.send(request("ask", 5000));
-            Site.await("written", () -> site.attempts(site.writers) == 1);
+            Site.await("written", () -> site.countAttempts(site.writers) == 1);
             client.close();
             Site.await("released", () -> site.releases() > 0);
             Thread.sleep(1000); // a release that timed out would be retried within this time
@@ -116,7 +116,7 @@
         try (Site site = new Site(2, 2, 30, null, hooks, Config.Limits.DEFAULT, settings, Duration.ofMillis(250));
                 RawConnection client = site.client()) {
             String fullReport = "X-Server-Load: inflight=1,x0=4.4\r\n";
-            site.readers.forEach(server -> server.script = Site.attempts(
+            site.readers.forEach(server -> server.script = Site.forAttempts(
                     (request, connection) -> connection.respond(202, "{\"cached_tokens\":0}", fullReport)));
             for (String tenant : List.of("another", "größer AG", "another")) {
                 int refused = 0;
@@ -141,7 +141,7 @@
         try (Site site = new Site(1, 1);
                 RawConnection client = site.client()) {
             StandIn server = (isReader ? site.readers : site.writers).get(0);
-            server.script = Site.attempts((request, connection) -> {
+            server.script = Site.forAttempts((request, connection) -> {
                 connection
                         .send("HTTP/1.1 " + status + " x\r\nLink: y\r\n\r\n")
                         .send(("HTTP/1.1 " + status + " x\r\n\r\n").repeat(3));
@@ -169,7 +169,7 @@
                     RawConnection client = site.client()) {
                 java.util.concurrent.atomic.AtomicInteger attemptCount =
                         new java.util.concurrent.atomic.AtomicInteger();
-                site.writers.forEach(writer -> writer.script = Site.attempts((request, connection) -> {
+                site.writers.forEach(writer -> writer.script = Site.forAttempts((request, connection) -> {
                     if (attemptCount.getAndIncrement() == 0) {
                         connection
                                 .send("HTTP/1.1 101 x\r\nUpgrade: y\r\nConnection: Upgrade\r\n\r\n")
--- a/src/test/java/copperbeam/sockets/PlainHttpClientTest.java
+++ b/src/test/java/copperbeam/sockets/PlainHttpClientTest.java
@@ -13,7 +13,7 @@
 
 /** Calls to services other than model servers, such as discovery. */
 public class PlainHttpClientTest {
-    private static final class RecordingResponse implements HttpClient.Response {
+    private static final class RecordingResponse implements HttpClient.ResponseListener {
         final CompletableFuture<String> outcome = new CompletableFuture<>();
 
         @Override
--- a/src/test/java/copperbeam/sockets/PluginTest.java
+++ b/src/test/java/copperbeam/sockets/PluginTest.java
@@ -69,7 +69,7 @@
                 assertEquals(answer.status(), status);
                 assertEquals(answer.header("Retry-After"), status == 429 ? "0.005" : null);
             }
-            assertEquals(site.attempts(site.readers), status == 200 ? 2 : 0);
+            assertEquals(site.countAttempts(site.readers), status == 200 ? 2 : 0);
             if (forwardedClass != null) {
                 assertEquals(site.writers.get(0).requests.get(0).header("X-Priority-Class"), forwardedClass);
             }
@@ -99,7 +99,7 @@
             assertTrue(System.nanoTime() - startNs < 2_500_000_000L);
             hookReleased.countDown();
             assertEquals(first.send(request("ask", 5000)).read().status(), 200);
-            assertEquals(site.attempts(site.readers), 1); // none for the requests that were already answered
+            assertEquals(site.countAttempts(site.readers), 1); // none for the requests that were already answered
         }
     }
 
--- a/src/test/java/copperbeam/sockets/RecordTest.java
+++ b/src/test/java/copperbeam/sockets/RecordTest.java
@@ -20,8 +20,8 @@
     @Test
     public void aSignalWritesTheRecording() throws Exception {
         Path recording = Files.createTempDirectory("record").resolve("log");
-        try (StandIn reader = new StandIn(
-                        Site.attempts((request, connection) -> connection.respond(202, "{\"cached_tokens\":4096}")));
+        try (StandIn reader = new StandIn(Site.forAttempts(
+                        (request, connection) -> connection.respond(202, "{\"cached_tokens\":4096}")));
                 StandIn writer = new StandIn(Site::answerAsWriter);
                 StandIn discovery = Conductor.discovery(reader, writer);
                 Conductor conductor = new Conductor(discovery, 1024, 192, List.of("--record", recording.toString()))) {
--- a/src/test/java/copperbeam/sockets/ReloadTest.java
+++ b/src/test/java/copperbeam/sockets/ReloadTest.java
@@ -1,7 +1,7 @@
 package copperbeam.sockets;
 
-import static copperbeam.sockets.Site.attempts;
 import static copperbeam.sockets.Site.await;
+import static copperbeam.sockets.Site.forAttempts;
 import static copperbeam.sockets.Site.request;
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
@@ -20,7 +20,7 @@
                     StandIn discovery = Conductor.discovery(server, server);
                     Conductor conductor = new Conductor(discovery, 1024, 192, List.of(), shellPrelude)) {
                 conductor.awaitHealthy();
-                assertEquals(conductor.logged("SIGHUP is ignored"), !shellPrelude.equals(":"), shellPrelude);
+                assertEquals(conductor.hasLogged("SIGHUP is ignored"), !shellPrelude.equals(":"), shellPrelude);
             }
         }
     }
@@ -31,7 +31,7 @@
     public void aHangupMovesDiscoveryAndDisturbsNothing() throws Exception {
         CountDownLatch unblock = new CountDownLatch(1);
         try (StandIn reader = new StandIn(Site::answerAsReader);
-                StandIn oldWriter = new StandIn(attempts((request, connection) -> {
+                StandIn oldWriter = new StandIn(forAttempts((request, connection) -> {
                     unblock.await();
                     Site.answerAsWriter(request, connection);
                 }));
@@ -57,7 +57,7 @@
 
                 conductor.configure("nowhere");
                 conductor.signal("HUP");
-                await("the faulty key is logged", () -> conductor.logged("discovery: 'nowhere'"));
+                await("the faulty key is logged", () -> conductor.hasLogged("discovery: 'nowhere'"));
                 assertEquals(client.send(request("send", 5000)).read().status(), 200);
 
                 conductor.configure(thirdDiscovery.hostAndPort());
--- a/src/test/java/copperbeam/sockets/RulesOnSocketsTest.java
+++ b/src/test/java/copperbeam/sockets/RulesOnSocketsTest.java
@@ -1,8 +1,8 @@
 package copperbeam.sockets;
 
 import static copperbeam.sockets.Site.EVENTS;
-import static copperbeam.sockets.Site.attempts;
 import static copperbeam.sockets.Site.await;
+import static copperbeam.sockets.Site.forAttempts;
 import static copperbeam.sockets.Site.request;
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
@@ -35,7 +35,7 @@
     private static final int WAIT_FOR_REUSE_MS =
             50; // longer than the 30 ms for which a kept connection rests before its next call
 
-    private static final StandIn.Script SILENT = attempts((message, connection) -> {});
+    private static final StandIn.Script SILENT = forAttempts((message, connection) -> {});
 
     @Test
     public void eventsAreRelayedUnchangedAndConnectionsKept() throws Exception {
@@ -79,7 +79,7 @@
         CountDownLatch firstEventRead = new CountDownLatch(1);
         try (Site site = new Site(1, 1);
                 RawConnection client = site.client()) {
-            site.writers.get(0).script = attempts((message, connection) -> {
+            site.writers.get(0).script = forAttempts((message, connection) -> {
                 connection.beginStream().sendChunk("data: 1\n\n");
                 firstEventRead.await();
                 connection.sendChunk("data: 2\n\n").sendLastChunk();
@@ -108,17 +108,19 @@
 
     @DataProvider
     public Object[][] writersThatFail() {
-        StandIn.Script reset = attempts((message, connection) -> connection.reset());
+        StandIn.Script reset = forAttempts((message, connection) -> connection.reset());
         return new Object[][] {
             // class, what the first writer does, the client's status, attempts at writers
             {"send", reset, 502, 1},
-            {"send", attempts((message, connection) -> connection.respond(500, "")), 502, 1},
-            {"send", attempts((message, connection) -> connection.respond(503, "")), 502, 1},
-            {"send", attempts((message, connection) -> connection.respond(503, "", "X-Not-Processed: 1\r\n")), 200, 2},
-            {"send", attempts((message, connection) -> connection.respond(410, "", "X-Not-Processed: 1\r\n")), 200, 2},
+            {"send", forAttempts((message, connection) -> connection.respond(500, "")), 502, 1},
+            {"send", forAttempts((message, connection) -> connection.respond(503, "")), 502, 1},
+            {"send", forAttempts((message, connection) -> connection.respond(503, "", "X-Not-Processed: 1\r\n")), 200, 2
+            },
+            {"send", forAttempts((message, connection) -> connection.respond(410, "", "X-Not-Processed: 1\r\n")), 200, 2
+            },
             {
                 "send",
-                attempts((message, connection) -> {
+                forAttempts((message, connection) -> {
                     connection.beginStream();
                     connection.reset();
                 }),
@@ -126,8 +128,9 @@
                 1
             },
             {"ask", reset, 200, 2},
-            {"ask", attempts((message, connection) -> connection.respond(504, "")), 200, 2},
-            {"ask", attempts((message, connection) -> connection.respond(504, "", "X-Not-Processed: 1\r\n")), 200, 2},
+            {"ask", forAttempts((message, connection) -> connection.respond(504, "")), 200, 2},
+            {"ask", forAttempts((message, connection) -> connection.respond(504, "", "X-Not-Processed: 1\r\n")), 200, 2
+            },
         };
     }
 
@@ -144,7 +147,7 @@
             };
             site.writers.forEach(writer -> writer.script = script);
             assertEquals(client.send(request(requestClass, 4000)).read().status(), status);
-            assertEquals(site.attempts(site.writers), writes);
+            assertEquals(site.countAttempts(site.writers), writes);
         }
     }
 
@@ -158,7 +161,7 @@
                     assertEquals(client.send(request("send", 4000)).read().status(), 200);
                 }
             }
-            assertEquals(site.attempts(site.writers), 4);
+            assertEquals(site.countAttempts(site.writers), 4);
         }
     }
 
@@ -171,7 +174,7 @@
             AtomicReference<RawConnection> firstConnection = new AtomicReference<>();
             AtomicReference<Boolean> firstWasClosed = new AtomicReference<>();
             CountDownLatch answered = new CountDownLatch(1);
-            StandIn.Script script = attempts((message, connection) -> {
+            StandIn.Script script = forAttempts((message, connection) -> {
                 if (attemptCount.getAndIncrement() == 0) {
                     firstConnection.set(connection);
                     answered.await();
@@ -185,7 +188,7 @@
             String requestText = request("ask", 8000).replace("Host: x", "Host: x\r\nConnection: close");
             assertEquals(client.send(requestText).read().status(), 200);
             answered.countDown();
-            assertEquals(site.attempts(site.writers), 2);
+            assertEquals(site.countAttempts(site.writers), 2);
             assertEquals(firstWasClosed.get(), Boolean.TRUE);
         }
     }
@@ -217,7 +220,7 @@
     public void aReadStateIsReleasedWhenItsRequestFails() throws Exception {
         try (Site site = new Site(1, 1);
                 RawConnection client = site.client()) {
-            site.writers.get(0).script = attempts((message, connection) -> connection.respond(500, ""));
+            site.writers.get(0).script = forAttempts((message, connection) -> connection.respond(500, ""));
             assertEquals(
                     client.send(request("r1", "send", "4000m", "", "{}")).read().status(), 502);
             await("released", () -> site.releases() > 0);
@@ -264,7 +267,7 @@
                     Site.answerAsReader(message, connection);
                 }
             };
-            site.writers.get(0).script = attempts((message, connection) -> connection.respond(500, ""));
+            site.writers.get(0).script = forAttempts((message, connection) -> connection.respond(500, ""));
             assertEquals(client.send(request("send", 4000)).read().status(), 502);
             await("released at the writer", () -> site.writers.get(0).releases() > 0);
         }
@@ -281,21 +284,21 @@
             await("closed", () -> site.readers.get(0).connections.get(0).closedByStandIn);
             // the second release comes after the close: the read may have completed just as its connection was closed
             await("released twice", () -> site.releases() >= 2);
-            assertEquals(site.attempts(site.writers), 0);
+            assertEquals(site.countAttempts(site.writers), 0);
         }
     }
 
     @Test
     public void aClientThatLeavesAStreamEndsIt() throws Exception {
         try (Site site = new Site(1, 1)) {
-            site.writers.get(0).script =
-                    attempts((message, connection) -> connection.beginStream().sendChunk("data: 1\n\n"));
+            site.writers.get(0).script = forAttempts(
+                    (message, connection) -> connection.beginStream().sendChunk("data: 1\n\n"));
             try (RawConnection client = site.client()) {
                 client.send(request("send", 8000)).readHead();
                 assertEquals(client.readChunk(), "data: 1\n\n");
             }
             await("closed", () -> site.writers.get(0).connections.get(0).closedByStandIn);
-            assertEquals(site.attempts(site.writers), 1);
+            assertEquals(site.countAttempts(site.writers), 1);
         }
     }
 
@@ -304,7 +307,7 @@
         CountDownLatch firstEventRead = new CountDownLatch(1);
         try (Site site = new Site(1, 1);
                 RawConnection client = site.client()) {
-            site.writers.get(0).script = attempts((message, connection) -> {
+            site.writers.get(0).script = forAttempts((message, connection) -> {
                 connection.beginStream().sendChunk("data: 1\n\n");
                 firstEventRead.await();
                 connection.close();
@@ -313,7 +316,7 @@
             assertEquals(client.readChunk(), "data: 1\n\n");
             firstEventRead.countDown();
             assertEquals(client.readChunk(), "");
-            assertEquals(site.attempts(site.writers), 1);
+            assertEquals(site.countAttempts(site.writers), 1);
         }
     }
 
@@ -325,7 +328,7 @@
             String event = "data: " + "x".repeat(8000) + "\n\n";
             AtomicInteger sent = new AtomicInteger();
             int eventCount = 4000;
-            site.writers.get(0).script = attempts((message, connection) -> {
+            site.writers.get(0).script = forAttempts((message, connection) -> {
                 connection.beginStream();
                 while (sent.incrementAndGet() < eventCount) {
                     connection.sendChunk(event);
@@ -395,18 +398,18 @@
      */
     @Test
     public void clientsBeyondTheLimitMakeRoomOrAreRefused() throws Exception {
-        List<CountDownLatch> releases =
+        List<CountDownLatch> answerLatches =
                 Stream.generate(() -> new CountDownLatch(1)).limit(5).toList(); // in order of arrival
         AtomicInteger slowRequests = new AtomicInteger();
-        AtomicInteger ended = new AtomicInteger(); // slow requests that the server also counts as ended
+        AtomicInteger ended = new AtomicInteger(); // slow requests whose call of respond has returned
         OffsetClock clock = new OffsetClock();
-        ClientConnections room = new ClientConnections(4, 1 << 20);
+        ClientConnections clientConnections = new ClientConnections(4, 1 << 20);
         try (HttpFrontServer server = new HttpFrontServer(
                 (call, reply) -> {
                     if (call.path().equals("/slow")) {
-                        CountDownLatch release = releases.get(slowRequests.getAndIncrement());
+                        CountDownLatch answerLatch = answerLatches.get(slowRequests.getAndIncrement());
                         new Thread(() -> {
-                                    awaitLatch(release);
+                                    awaitLatch(answerLatch);
                                     reply.respond(200, "text/plain", Map.of(), new byte[0]);
                                     ended.incrementAndGet();
                                 })
@@ -417,7 +420,7 @@
                     return () -> {};
                 },
                 clock,
-                room,
+                clientConnections,
                 (c, status) -> {})) {
             InetSocketAddress address = server.listen(new InetSocketAddress("127.0.0.1", 0), false);
             String slow = "GET /slow HTTP/1.1\r\nHost: x\r\n\r\n";
@@ -441,10 +444,11 @@
             for (int i = 0; i < 4; i++) {
                 int remaining = 4 - i;
                 // a client may have its answer, and its connection may be closed, before the thread that answered
-                // counts
-                // the request as ended
-                await("those before have left", () -> room.size() == remaining && ended.get() == 4 - remaining);
-                releases.get(i).countDown();
+                // counts the request as ended
+                await(
+                        "those before have left",
+                        () -> clientConnections.size() == remaining && ended.get() == 4 - remaining);
+                answerLatches.get(i).countDown();
                 RawConnection.Message answer = clients.get(i + 1).read();
                 assertEquals(answer.status(), 200);
                 assertEquals(
@@ -493,7 +497,7 @@
                 assertEquals(answer.status(), status);
             }
             assertEquals(site.get("/healthz").status(), 200);
-            assertEquals(site.attempts(site.readers), 0);
+            assertEquals(site.countAttempts(site.readers), 0);
         }
     }
 
@@ -502,22 +506,22 @@
      * the signal are still served.
      */
     @Test
-    public void aStopAnswersWhatWasTaken() throws Exception {
+    public void aStopAnswersAcceptedRequests() throws Exception {
         CountDownLatch unblock = new CountDownLatch(1);
         try (Site site = new Site(1, 1);
                 RawConnection first = site.client();
                 RawConnection idle = site.client()) {
-            site.writers.get(0).script = attempts((message, connection) -> {
+            site.writers.get(0).script = forAttempts((message, connection) -> {
                 unblock.await();
                 Site.answerAsWriter(message, connection);
             });
             first.send(request("ask", 8000));
-            await("written", () -> site.attempts(site.writers) == 1);
+            await("written", () -> site.countAttempts(site.writers) == 1);
             Thread stopThread = site.beginStop();
             await("not healthy", () -> site.get("/healthz").status() == 503);
             try (RawConnection late = site.client()) {
                 late.send(request("ask", 8000));
-                await("late one written", () -> site.attempts(site.writers) == 2);
+                await("late one written", () -> site.countAttempts(site.writers) == 2);
                 unblock.countDown();
                 for (RawConnection client : List.of(first, late)) {
                     RawConnection.Message answer = client.read();
@@ -543,7 +547,7 @@
                 RawConnection resuming = site.client();
                 RawConnection unread = site.client()) {
             StandIn writer = site.writers.get(0);
-            writer.script = attempts((message, connection) -> {
+            writer.script = forAttempts((message, connection) -> {
                 connection.beginStream().sendChunk("data: 1\n\n");
                 await(
                         "the stop, after which only the stream of request kept ends",
@@ -553,18 +557,18 @@
             });
             kept.send(request("kept", "ask", "60000m", "", "{}")).readHead();
             stream.send(request("stream", "ask", "60000m", "", "{}")).readHead();
-            await("both stream", () -> site.attempts(site.writers) == 2);
+            await("both stream", () -> site.countAttempts(site.writers) == 2);
             writer.script = SILENT;
             write.send(request("write", "send", "60000m", "", "{}"));
-            await("written", () -> site.attempts(site.writers) == 3);
+            await("written", () -> site.countAttempts(site.writers) == 3);
             site.readers.get(0).script = SILENT;
             read.send(request("read", "ask", "60000m", "", "{}"));
-            await("read", () -> site.attempts(site.readers) == 4);
+            await("read", () -> site.countAttempts(site.readers) == 4);
             resuming.send(request("rest", "send", "60000m", "", "{}")
                     .replace("X-Route-Key", "X-Retried: again\r\nX-Route-Key"));
-            await("the fifth read is sent", () -> site.attempts(site.readers) == 5);
+            await("the fifth read is sent", () -> site.countAttempts(site.readers) == 5);
             unread.send(request("unread", "send", "60000m", "", "{}"));
-            await("the sixth read is sent", () -> site.attempts(site.readers) == 6);
+            await("the sixth read is sent", () -> site.countAttempts(site.readers) == 6);
             long startNs = System.nanoTime();
             Thread stopThread = site.beginStop();
             // the stream began before the stop, so that its head has no "Connection: close"
@@ -596,7 +600,7 @@
                 RawConnection client = site.client()) {
             StandIn writer = site.writers.get(0);
             Map<RawConnection, Integer> requestCounts = new ConcurrentHashMap<>();
-            writer.script = attempts((message, connection) -> {
+            writer.script = forAttempts((message, connection) -> {
                 if (requestCounts.merge(connection, 1, Integer::sum) > 1) {
                     connection.reset();
                 } else {
--- a/src/test/java/copperbeam/sockets/Site.java
+++ b/src/test/java/copperbeam/sockets/Site.java
@@ -114,7 +114,7 @@
                 connectTimeout,
                 Duration.ofMillis((long) (idleS * 1000)),
                 limits,
-                new Config.Operator(anyPort, models, etcd, hooks)));
+                new Config.OperatorSettings(anyPort, models, etcd, hooks)));
         if (etcd == null) {
             await("listening", () -> node.address().getPort() != 0 && node.chatAddress() != null);
             await("healthy", () -> get("/healthz").status() == 200);
@@ -147,7 +147,7 @@
     }
 
     /** Accepts releases (DELETE) and leaves all other requests to {@code script}. */
-    static StandIn.Script attempts(StandIn.Script script) {
+    static StandIn.Script forAttempts(StandIn.Script script) {
         return (request, connection) -> {
             if (request.method().equals("DELETE")) {
                 connection.respond(204, "");
@@ -236,7 +236,7 @@
         return new RawConnection(node.chatAddress());
     }
 
-    long attempts(List<StandIn> servers) {
+    long countAttempts(List<StandIn> servers) {
         return servers.stream().mapToLong(StandIn::attempts).sum();
     }
 
--- a/src/test/java/copperbeam/sockets/SpoiltAnswersTest.java
+++ b/src/test/java/copperbeam/sockets/SpoiltAnswersTest.java
@@ -1,9 +1,9 @@
 package copperbeam.sockets;
 
 import static copperbeam.sockets.Site.EVENTS;
-import static copperbeam.sockets.Site.attempts;
 import static copperbeam.sockets.Site.await;
 import static copperbeam.sockets.Site.chatRequest;
+import static copperbeam.sockets.Site.forAttempts;
 import static copperbeam.sockets.Site.request;
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
@@ -99,7 +99,7 @@
                 Duration.ofMillis(250),
                 Duration.ofSeconds(30),
                 Config.Limits.DEFAULT,
-                new Config.Operator(anyPort, models, null, List.of())));
+                new Config.OperatorSettings(anyPort, models, null, List.of())));
     }
 
     /**
@@ -110,7 +110,7 @@
     public void aMalformedOpeningIsAFailedAttempt(String name, String opening, boolean chat) throws Exception {
         AtomicInteger attemptCount = new AtomicInteger();
         List<RawConnection> malformedConnections = new CopyOnWriteArrayList<>();
-        StandIn.Script script = attempts((request, connection) -> {
+        StandIn.Script script = forAttempts((request, connection) -> {
             if (attemptCount.getAndIncrement() == 0) {
                 malformedConnections.add(connection);
                 connection.send(opening);
@@ -172,7 +172,7 @@
                 AtomicInteger attemptCount = new AtomicInteger();
                 List<StandIn> servers = isReader ? site.readers : site.writers;
                 StandIn.Script validScript = isReader ? Site::answerAsReader : Site::answerAsWriter;
-                servers.forEach(server -> server.script = attempts((request, connection) -> {
+                servers.forEach(server -> server.script = forAttempts((request, connection) -> {
                     if (attemptCount.getAndIncrement() == 0) {
                         connection.send(badAnswer);
                     } else {
@@ -218,7 +218,7 @@
         AtomicInteger attemptCount = new AtomicInteger();
         try (Site site = new Site(1, 2);
                 RawConnection client = site.client()) {
-            StandIn.Script script = attempts((request, connection) -> {
+            StandIn.Script script = forAttempts((request, connection) -> {
                 if (attemptCount.getAndIncrement() > 0) {
                     Site.answerAsWriter(request, connection);
                     return;
@@ -242,8 +242,8 @@
     public void anErrorThatDoesNotEndIsAFailedAttempt() throws Exception {
         try (Site site = new Site(1, 1);
                 RawConnection client = site.client()) {
-            site.writers.get(0).script =
-                    attempts((request, connection) -> connection.send("HTTP/1.1 500 x\r\nContent-Length: 9\r\n\r\nno"));
+            site.writers.get(0).script = forAttempts(
+                    (request, connection) -> connection.send("HTTP/1.1 500 x\r\nContent-Length: 9\r\n\r\nno"));
             long sentNs = System.nanoTime();
             assertEquals(
                     client.send(request("send", 6 * RawConnection.TIMEOUT_MS))
@@ -251,7 +251,7 @@
                             .status(),
                     502);
             assertTrue(System.nanoTime() - sentNs < Duration.ofMillis(3000).toNanos());
-            assertEquals(site.attempts(site.writers), 1);
+            assertEquals(site.countAttempts(site.writers), 1);
         }
     }
 
@@ -264,7 +264,7 @@
             throws Exception {
         try (Site site = new Site(1, 1)) {
             site.writers.get(0).script =
-                    attempts((request, connection) -> connection.send(HEAD + "\r\n" + chunk(FIRST_EVENT) + middle));
+                    forAttempts((request, connection) -> connection.send(HEAD + "\r\n" + chunk(FIRST_EVENT) + middle));
             try (RawConnection client = send(site, "ask", chat)) {
                 RawConnection.Message answer = client.read();
                 assertEquals(answer.status(), 200);
@@ -273,7 +273,7 @@
                 assertFalse(answer.text().contains("\r"));
             }
             await("closed", () -> site.writers.get(0).connections.get(0).closedByStandIn);
-            assertEquals(site.attempts(site.writers), 1);
+            assertEquals(site.countAttempts(site.writers), 1);
         }
     }
 
@@ -298,7 +298,7 @@
     @Test(dataProvider = "good")
     public void aGoodStreamWithMoreAroundItIsServed(String name, String answer, boolean chat) throws Exception {
         try (Site site = new Site(1, 1)) {
-            site.writers.get(0).script = attempts((request, connection) -> connection.send(answer));
+            site.writers.get(0).script = forAttempts((request, connection) -> connection.send(answer));
             for (int i = 0; i < 3; i++) {
                 try (RawConnection client = send(site, "ask", chat)) {
                     RawConnection.Message served = client.read();
@@ -308,7 +308,7 @@
                 Thread.sleep(WAIT_FOR_REUSE_MS);
             }
             assertEquals(site.writers.get(0).connections.size(), name.startsWith("behind") ? 3 : 1);
-            assertEquals(site.attempts(site.writers), 3);
+            assertEquals(site.countAttempts(site.writers), 3);
         }
     }
 
@@ -325,7 +325,7 @@
             AtomicLong actualDelayMs = new AtomicLong();
             try (Site site = new Site(1, 1);
                     RawConnection client = site.client()) {
-                site.writers.get(0).script = attempts((request, connection) -> {
+                site.writers.get(0).script = forAttempts((request, connection) -> {
                     int number = attemptCount.incrementAndGet();
                     String answer = HEAD + "\r\n" + chunk("data: " + number + "\n\n") + "0\r\n\r\n";
                     connection.send(answer);
@@ -360,7 +360,7 @@
         // unused
         try (Site site = new Site(1, 1);
                 RawConnection client = site.client()) {
-            site.readers.get(0).script = attempts((request, connection) -> {
+            site.readers.get(0).script = forAttempts((request, connection) -> {
                 usedConnections.add(connection);
                 Site.answerAsReader(request, connection);
             });
@@ -388,7 +388,7 @@
     @Test(dataProvider = "halves")
     public void halfAnEventAtACloseIsNotForwarded(String name, String half) throws Exception {
         try (Site site = new Site(1, 1)) {
-            site.writers.get(0).script = attempts((request, connection) -> {
+            site.writers.get(0).script = forAttempts((request, connection) -> {
                 connection.send(HEAD + "\r\n" + chunk(FIRST_EVENT) + half);
                 connection.close();
             });
@@ -397,7 +397,7 @@
                 assertFalse(answer.complete());
                 assertEquals(answer.text(), FIRST_EVENT);
             }
-            assertEquals(site.attempts(site.writers), 1);
+            assertEquals(site.countAttempts(site.writers), 1);
         }
     }
 
@@ -409,7 +409,7 @@
     public void anEventThatArrivesWithABreakIsForwarded() throws Exception {
         try (Site site = new Site(1, 1);
                 RawConnection client = site.client()) {
-            site.writers.get(0).script = attempts((request, connection) -> {
+            site.writers.get(0).script = forAttempts((request, connection) -> {
                 connection.send(HEAD + "\r\n" + chunk(FIRST_EVENT));
                 connection.close();
             });
@@ -428,7 +428,7 @@
         try (Site site = new Site(1, 1);
                 RawConnection client = site.client()) {
             AtomicInteger sentCount = new AtomicInteger();
-            site.writers.get(0).script = attempts((request, connection) -> {
+            site.writers.get(0).script = forAttempts((request, connection) -> {
                 connection.send(HEAD + "\r\n");
                 while (true) {
                     connection.send(chunk("data: " + sentCount.get() + "x".repeat(900) + "\n\n"));
--- a/src/test/java/copperbeam/sockets/StandIn.java
+++ b/src/test/java/copperbeam/sockets/StandIn.java
@@ -23,7 +23,7 @@
     }
 
     private final ServerSocket socket;
-    volatile ConnectionHandler onConnect = line -> {};
+    volatile ConnectionHandler onConnect = connection -> {};
     final List<RawConnection.Message> requests = new CopyOnWriteArrayList<>();
     final List<RawConnection> connections = new CopyOnWriteArrayList<>();
     volatile Script script;
--- a/src/test/java/copperbeam/sockets/StopSeedsTest.java
+++ b/src/test/java/copperbeam/sockets/StopSeedsTest.java
@@ -1,6 +1,6 @@
 package copperbeam.sockets;
 
-import static copperbeam.sockets.Site.attempts;
+import static copperbeam.sockets.Site.forAttempts;
 import static copperbeam.sockets.Site.request;
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
@@ -105,15 +105,15 @@
         }
     }
 
-    private StandIn createServer(Random random, boolean reader) throws IOException {
-        return new StandIn(attempts((request, connection) -> {
+    private StandIn createServer(Random random, boolean isReader) throws IOException {
+        return new StandIn(forAttempts((request, connection) -> {
             Long finishedNs = finishedAtNs.get(request.header("X-Request-ID"));
             long lateMs = finishedNs == null ? 0 : (System.nanoTime() - finishedNs) / 1_000_000;
             if (lateMs > IN_FLIGHT_ALLOWANCE_MS) {
                 faults.add("attempt " + lateMs + " ms after the final answer: " + request.header("X-Request-ID"));
             }
             int draw = random.nextInt(20);
-            Thread.sleep(random.nextInt(reader ? 60 : 400));
+            Thread.sleep(random.nextInt(isReader ? 60 : 400));
             if (draw == 0) {
                 connection.respond(503, "", "X-Not-Processed: 1\r\n");
             } else if (draw == 1) {
@@ -122,7 +122,7 @@
                 Thread.sleep(2500);
             } else if (draw == 3) {
                 connection.respond(500, "");
-            } else if (reader) {
+            } else if (isReader) {
                 Site.answerAsReader(request, connection);
             } else {
                 connection.beginStream().sendChunk("data: 1\n\n");
--- a/src/test/java/copperbeam/sockets/UpgradeTest.java
+++ b/src/test/java/copperbeam/sockets/UpgradeTest.java
@@ -1,8 +1,8 @@
 package copperbeam.sockets;
 
 import static copperbeam.sockets.OperatorsTest.metrics;
-import static copperbeam.sockets.Site.attempts;
 import static copperbeam.sockets.Site.await;
+import static copperbeam.sockets.Site.forAttempts;
 import static copperbeam.sockets.Site.request;
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
@@ -49,7 +49,7 @@
 
         Fleet() throws IOException {
             for (int i = 0; i < 2; i++) {
-                writers.add(new StandIn(attempts(this::writeStream)));
+                writers.add(new StandIn(forAttempts(this::writeStream)));
             }
             discovery = Conductor.discovery(reader, writers.toArray(StandIn[]::new));
             // a stop that waits for the streams that the test holds, so that the result does not depend on the
@@ -375,7 +375,7 @@
         }
     }
 
-    /** Process 0 is the old one, 1 the new one: at which the ban is ordered and lifted, and at which the drain. */
+    /** The process (0: old, 1: new) that gets the calls for the ban, and the one that gets the calls for the drain. */
     @DataProvider
     public Object[][] doors() {
         return new Object[][] {{0, 1}, {1, 0}};
@@ -468,7 +468,7 @@
         try (Fleet fleet = new Fleet()) {
             Conductor old = fleet.startNext();
             Conductor next = fleet.startWithoutList();
-            await("it handles the signal itself", () -> next.logged(" listens on "));
+            await("it handles the signal itself", () -> next.hasLogged(" listens on "));
             next.signal("TERM");
             await("the shared state says LEAVING", () -> fleet.phases().contains(SharedState.Phase.LEAVING));
             fleet.listAvailable.countDown();
@@ -524,7 +524,7 @@
                 fleet.assertBanned(banned);
             } else {
                 String logLine = "n0.state is not taken: " + reason + System.lineSeparator();
-                assertTrue(conductor.logged(logLine), Files.readString(conductor.logFile));
+                assertTrue(conductor.hasLogged(logLine), Files.readString(conductor.logFile));
                 fleet.awaitUsedAgain(banned);
             }
             StateCodec.decode(Conductor.NAME, Files.readAllBytes(state)); // has been replaced by a valid file
--- a/src/test/java/copperbeam/transport/ListenQueueAgeTest.java
+++ b/src/test/java/copperbeam/transport/ListenQueueAgeTest.java
@@ -25,7 +25,7 @@
     private final Clock clock = source.withZone(ZoneOffset.UTC);
 
     @BeforeMethod
-    public void begin() {
+    public void resetClock() {
         now.set(START);
     }
 
@@ -35,7 +35,7 @@
         try (ServerSocketChannel listener = ServerSocketChannel.open().bind(new InetSocketAddress("127.0.0.1", 0));
                 ListenQueueAge age = new ListenQueueAge((InetSocketAddress) listener.getLocalAddress(), clock);
                 SocketChannel first = SocketChannel.open(listener.getLocalAddress())) {
-            age.queueFilled();
+            age.queueMayHoldConnections();
             age.sendMarkerIfDue(); // not due yet
             now.set(START.plus(STEP));
             age.sendMarkerIfDue();
@@ -48,7 +48,7 @@
                 assertEquals(age.waitingSince(), START.plus(STEP));
             }
             age.queueEmptied();
-            age.queueFilled();
+            age.queueMayHoldConnections();
             assertEquals(age.waitingSince(), now.get());
         }
     }
@@ -58,7 +58,7 @@
     public void aMarkerIsRecognizedAfterALostOne() throws Exception {
         try (ServerSocketChannel listener = ServerSocketChannel.open().bind(new InetSocketAddress("127.0.0.1", 0));
                 ListenQueueAge age = new ListenQueueAge((InetSocketAddress) listener.getLocalAddress(), clock)) {
-            age.queueFilled();
+            age.queueMayHoldConnections();
             now.set(START.plus(STEP));
             age.sendMarkerIfDue();
             listener.accept().close(); // as if another process had accepted it
